--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -1,29 +1,32 @@
-/** Which jobs can never run, whatever happens: they are rejected when they are submitted. Pure. */
+/**
+ * Finds jobs that can never run, so that they are rejected when they are submitted. The module is free of side
+ * effects.
+ */
 import { EPSILON } from '../constants.js';
 import type { InstanceType } from '../autoscaler/cloud-codec.js';
 import { tasksThatFit } from '../scheduler/placement-constraints.js';
 import type { TeamQuota } from '../scheduler/team-quota.js';
 import type { JobSpec } from '../state/records.js';
 
-/** Why a job can never run; undefined when it can. */
-export function rejectionReason(
+/** Finds the reason why a job can never run. Undefined if it can run. */
+export function findRejectionReason(
   spec: JobSpec,
   instanceTypes: readonly InstanceType[],
   quotas: ReadonlyMap<string, TeamQuota>,
 ): string | undefined {
   const quota = quotas.get(spec.team);
   if (!quota) return 'unknown team';
-  const fitting = instanceTypes.some(
+  const fitsAnyType = instanceTypes.some(
     (type) =>
       (spec.instanceTypes === null || spec.instanceTypes.includes(type.name)) &&
       (spec.zone === null || type.zones.includes(spec.zone)) &&
       tasksThatFit(spec, type) > 0,
   );
-  if (!fitting) return 'a task fits no allowed machine type';
-  const tasks = spec.kind === 'service' ? spec.tasks : 1;
+  if (!fitsAnyType) return 'a task fits no allowed machine type';
+  const concurrentTasks = spec.kind === 'service' ? spec.tasks : 1;
   if (
-    spec.cpus * tasks > quota.cpuLimit + EPSILON ||
-    spec.accelerators * tasks > quota.acceleratorLimit + EPSILON
+    spec.cpus * concurrentTasks > quota.cpuLimit + EPSILON ||
+    spec.accelerators * concurrentTasks > quota.acceleratorLimit + EPSILON
   )
     return "more than the team's limit";
   return undefined;
--- a/src/api/cancellation-handler.ts
+++ b/src/api/cancellation-handler.ts
@@ -1,12 +1,14 @@
-/** Cancels jobs: the response follows the conditional write that decides between a cancellation and a completion. */
+/**
+ * Cancels jobs. The response is sent after the conditional write that decides between a cancellation and a completion.
+ */
 import type { Logger } from 'pino';
 import { SUBMIT_ANSWER_MS } from '../constants.js';
 import type { HttpResponse } from '../http/message.js';
 import { encodeJob } from '../state/records.js';
 import type { CommitResult, TransactionBatcher } from '../state/transaction-batcher.js';
-import { encodeState, isUid } from './codec.js';
+import { encodeJobState, isJobUid } from './codec.js';
 import type { JobReader, StoredJob } from './job-reader.js';
-import { problem, reply, TRY_AGAIN } from './responses.js';
+import { errorResponse, jsonResponse, TRY_AGAIN } from './responses.js';
 
 /** Dependencies of `CancellationHandler`. */
 export interface CancellationHandlerDependencies {
@@ -21,26 +23,29 @@
 export class CancellationHandler {
   constructor(private readonly dependencies: CancellationHandlerDependencies) {}
 
-  /** The response to a cancellation: the final state of the job, 404, or 503 where it can't be decided now. */
+  /**
+   * Cancels a job. The response contains the final state of the job. Its status is 404 for an unknown job, and 503 if
+   * the cancellation can't be decided now.
+   */
   async cancel(uid: string): Promise<HttpResponse> {
-    if (!isUid(uid)) return problem(404, 'no such job');
+    if (!isJobUid(uid)) return errorResponse(404, 'no such job');
     const { jobReader, isStoreAvailable, log } = this.dependencies;
     for (;;) {
       const job = await jobReader.read(uid);
-      if (!job) return problem(404, 'no such job');
+      if (!job) return errorResponse(404, 'no such job');
       if (job.record.phase !== 'open')
-        return reply(200, encodeState(uid, jobReader.phaseOf(uid, job.record)));
+        return jsonResponse(200, encodeJobState(uid, jobReader.getUserPhase(uid, job.record)));
       if (!isStoreAvailable()) return TRY_AGAIN;
-      const result = await this.store(job);
+      const result = await this.storeCancellation(job);
       if (result.outcome === 'applied') {
         log.info({ job: uid }, 'job cancelled by its user');
-        return reply(200, encodeState(uid, 'withdrawn'));
+        return jsonResponse(200, encodeJobState(uid, 'withdrawn'));
       }
       if (result.outcome === 'refused') return TRY_AGAIN;
     }
   }
 
-  private store({ record, keyValue }: StoredJob): Promise<CommitResult> {
+  private storeCancellation({ record, keyValue }: StoredJob): Promise<CommitResult> {
     const { key, modRevision } = keyValue;
     const value = encodeJob({ ...record, phase: 'cancelled' });
     return this.dependencies.batcher.commitForUser(
--- a/src/api/codec.ts
+++ b/src/api/codec.ts
@@ -1,4 +1,4 @@
-/** The users' wire format: the only module that knows its paths, field names and words. */
+/** Encodes and decodes the wire format of the user API. Only this module knows its paths, field names and values. */
 import { MAX_TASKS } from '../constants.js';
 import type { JobSpec, Rank } from '../state/records.js';
 import { isObject, parseJson } from '../wire/json.js';
@@ -7,78 +7,81 @@
 export const HEALTH_PATH = '/healthz';
 /** Path to which workers send heartbeats. */
 export const HEARTBEAT_PATH = '/v1/report';
-/** Path of submissions; a job's own path is below it. */
+/** Path of submissions. The path of each job is below it. */
 export const SUBMISSIONS_PATH = '/submissions';
-/** Below a job's path: cancels the job. */
+/** Path segment below a job's path that cancels the job. */
 export const CANCEL_ACTION = 'abort';
 
-/** The body of a submission is not one of a job. */
+/** Thrown if the body of a submission does not describe a job. */
 export class MalformedSubmissionError extends Error {
   override readonly name = 'MalformedSubmissionError';
 }
 
-/** What a user is told of a job's state; `withdrawn`: cancelled. */
+/** The state of a job as users see it. `withdrawn` means cancelled. */
 export type UserPhase = 'pending' | 'running' | 'done' | 'withdrawn';
 
-const UID = /^job-[0-9]{1,40}$/;
+const UID_PATTERN = /^job-[0-9]{1,40}$/;
 const RANKS: readonly unknown[] = ['prod', 'high', 'standard', 'idle'] satisfies Rank[];
 
-/** Whether the text has the form of a job's id. */
-export function isUid(text: string): boolean {
-  return UID.test(text);
+/** Whether the text has the form of a job id. */
+export function isJobUid(text: string): boolean {
+  return UID_PATTERN.test(text);
 }
 
 type Fields = Record<string, unknown>;
 
-/** Most characters of a name: of a team, class, zone, instance type or image. */
+/** Longest name of a team, job class, zone, instance type or image, in characters. */
 const MAX_NAME_LENGTH = 200;
-/** Largest amount of a resource or a time that is taken for meant. */
+/** Largest accepted resource amount or duration. A larger value is considered a mistake. */
 const MAX_AMOUNT = 1e9;
-/** Most instance types that a job may name. */
+/** Largest number of instance types that a job may name. */
 const MAX_INSTANCE_TYPES = 100;
 
-const text = (value: unknown): value is string =>
+const isName = (value: unknown): value is string =>
   typeof value === 'string' && value.length > 0 && value.length <= MAX_NAME_LENGTH;
-const amount = (value: unknown): value is number =>
+const isAmount = (value: unknown): value is number =>
   typeof value === 'number' && Number.isFinite(value) && value >= 0 && value <= MAX_AMOUNT;
-const flag = (value: unknown): value is boolean => typeof value === 'boolean';
-const empty = (value: unknown): value is null | undefined => value === null || value === undefined;
-const textList = (value: unknown): value is string[] =>
-  Array.isArray(value) && value.length > 0 && value.length <= MAX_INSTANCE_TYPES && value.every(text);
+const isBoolean = (value: unknown): value is boolean => typeof value === 'boolean';
+const isAbsent = (value: unknown): value is null | undefined => value === null || value === undefined;
+const isNameList = (value: unknown): value is string[] =>
+  Array.isArray(value) && value.length > 0 && value.length <= MAX_INSTANCE_TYPES && value.every(isName);
 
-/** Each field with what makes it valid; a job is refused as malformed unless all hold. */
-const CHECKS: readonly (readonly [field: string, isValid: (value: unknown) => boolean])[] = [
-  ['uid', (v) => typeof v === 'string' && isUid(v)],
-  ['cohort', text],
-  ['crew', text],
+/** The check of each field. A job is rejected as malformed unless all checks pass. */
+const FIELD_CHECKS: readonly (readonly [field: string, isValid: (value: unknown) => boolean])[] = [
+  ['uid', (v) => typeof v === 'string' && isJobUid(v)],
+  ['cohort', isName],
+  ['crew', isName],
   ['shape', (v) => v === 'sweep' || v === 'standing'],
   ['rank', (v) => RANKS.includes(v)],
   ['pieces', (v) => Number.isInteger(v) && (v as number) >= 1 && (v as number) <= MAX_TASKS],
-  ['cpus', amount],
-  ['accelerators', amount],
-  ['memGb', amount],
-  ['builds', (v) => empty(v) || textList(v)],
-  ['yard', (v) => empty(v) || text(v)],
-  ['oneZone', flag],
-  ['scatter', flag],
-  ['loaner', flag],
-  ['cast', text],
-  ['sizeGb', amount],
-  ['guessS', amount],
-  ['pinS', amount],
-  ['pinningS', amount],
-  ['dueS', (v) => empty(v) || amount(v)],
+  ['cpus', isAmount],
+  ['accelerators', isAmount],
+  ['memGb', isAmount],
+  ['builds', (v) => isAbsent(v) || isNameList(v)],
+  ['yard', (v) => isAbsent(v) || isName(v)],
+  ['oneZone', isBoolean],
+  ['scatter', isBoolean],
+  ['loaner', isBoolean],
+  ['cast', isName],
+  ['sizeGb', isAmount],
+  ['guessS', isAmount],
+  ['pinS', isAmount],
+  ['pinningS', isAmount],
+  ['dueS', (v) => isAbsent(v) || isAmount(v)],
   [
     'awaits',
-    (v) => empty(v) || (Array.isArray(v) && v.every((uid) => typeof uid === 'string' && isUid(uid))),
+    (v) => isAbsent(v) || (Array.isArray(v) && v.every((uid) => typeof uid === 'string' && isJobUid(uid))),
   ],
 ];
 
-/** The job of a submission. Throws MalformedSubmissionError, whose message is the reason for a 400. */
+/**
+ * Decodes the job of a submission. Throws MalformedSubmissionError, whose message explains the status 400 to the
+ * user.
+ */
 export function decodeSubmission(body: string): JobSpec {
   const fields = parseFields(body);
-  const invalid = CHECKS.find(([field, isValid]) => !isValid(fields[field]));
-  if (invalid) throw new MalformedSubmissionError(`${invalid[0]} is missing or invalid`);
+  const failedCheck = FIELD_CHECKS.find(([field, isValid]) => !isValid(fields[field]));
+  if (failedCheck) throw new MalformedSubmissionError(`${failedCheck[0]} is missing or invalid`);
   return decodeFields(fields);
 }
 
@@ -93,7 +96,7 @@
   return value;
 }
 
-/** The job of fields that passed all checks. */
+/** Converts fields that passed all checks to the specification of a job. */
 function decodeFields(fields: Fields): JobSpec {
   const dependencies = [...new Set((fields.awaits as string[] | null | undefined) ?? [])];
   return {
@@ -121,20 +124,21 @@
   };
 }
 
-/** The state of a job, as the answer to a submission or a cancellation. */
-export function encodeState(uid: string, phase: UserPhase): unknown {
+/** Encodes the state of a job in the response to a submission or a cancellation. */
+export function encodeJobState(uid: string, phase: UserPhase): unknown {
   return { uid, phase };
 }
 
-/** What a user is told of a job. */
+/** The status of a job as users see it. */
 export interface JobStatus {
   readonly phase: UserPhase;
-  /** Counts of tasks, for display. */
+  /** Number of completed tasks, for display. */
   readonly completedTasks: number;
+  /** Number of running tasks, for display. */
   readonly runningTasks: number;
 }
 
-/** The answer to a question about a job. */
-export function encodeStatus(uid: string, { phase, completedTasks, runningTasks }: JobStatus): unknown {
+/** Encodes the status of a job in the response to a status request. */
+export function encodeJobStatus(uid: string, { phase, completedTasks, runningTasks }: JobStatus): unknown {
   return { uid, phase, done: completedTasks, running: runningTasks };
 }
--- a/src/api/dependency-list-writer.ts
+++ b/src/api/dependency-list-writer.ts
@@ -1,49 +1,55 @@
-/** Brings the record of a new job into a form that fits the values of the state store. */
+/** Converts the record of a new job to a form that fits into a value of the state store. */
 import { DEPENDENCY_LIST_IDS, SUBMIT_ANSWER_MS } from '../constants.js';
 import { dependencyListKey, maxJobBytes, splitByBytes, type JobRecord } from '../state/records.js';
 import type { TransactionBatcher } from '../state/transaction-batcher.js';
 
-/** A record that can be stored, or why there is none. */
+/** A record that can be stored, or the reason why there is none. */
 export type FittedRecord =
   | { readonly kind: 'fits'; readonly record: JobRecord }
-  /** The description does not fit, whatever is split off. */
+  /** The job description does not fit, even without its dependency list. */
   | { readonly kind: 'tooLong' }
-  /** The state store did not take the dependency list. */
+  /** The dependency list was not written to the state store. */
   | { readonly kind: 'notWritten' };
 
 /** Dependencies of `DependencyListWriter`. */
 export interface DependencyListWriterDependencies {
-  /** Of the state store: bytes of a value, and puts in a transaction. */
+  /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
   readonly limits: { readonly valueBytes: number; readonly txnOps: number };
   readonly batcher: TransactionBatcher;
   readonly random: () => number;
 }
 
-/** Writes dependency lists that are too long for a job's own value to keys of their own. */
+/** Writes dependency lists that are too long for the value of their job to separate keys. */
 export class DependencyListWriter {
   constructor(private readonly dependencies: DependencyListWriterDependencies) {}
 
   /**
-   * The record in a form that fits, also once all tasks of the job have completed. A long dependency list goes to keys
-   * of its own first, under a name that no other attempt uses.
+   * Converts the record to a form that fits and still does once all tasks of the job have completed. A long
+   * dependency list is first written to separate keys, under a name that no other attempt uses.
    */
-  async fit(record: JobRecord): Promise<FittedRecord> {
+  async fitToStore(record: JobRecord): Promise<FittedRecord> {
     const { limits, batcher, random } = this.dependencies;
     if (maxJobBytes(record) <= limits.valueBytes) return { kind: 'fits', record };
     if (!record.spec?.dependencies) return { kind: 'tooLong' };
-    const { dependencies, ...description } = record.spec;
-    const parts = splitByBytes(dependencies, limits.valueBytes);
-    const list = { id: Math.floor(random() * DEPENDENCY_LIST_IDS).toString(36), parts: parts.length };
+    const { dependencies: dependencyUids, ...description } = record.spec;
+    const parts = splitByBytes(dependencyUids, limits.valueBytes);
+    const dependencyList = {
+      id: Math.floor(random() * DEPENDENCY_LIST_IDS).toString(36),
+      parts: parts.length,
+    };
     const { uid } = description;
-    const split: JobRecord = { ...record, spec: { ...description, dependencyList: list } };
-    if (maxJobBytes(split) > limits.valueBytes) return { kind: 'tooLong' };
-    const keyValues = parts.map((value, part) => ({ key: dependencyListKey(uid, list, part), value }));
-    for (let from = 0; from < keyValues.length; from += limits.txnOps) {
-      const operations = keyValues.slice(from, from + limits.txnOps);
+    const splitRecord: JobRecord = { ...record, spec: { ...description, dependencyList } };
+    if (maxJobBytes(splitRecord) > limits.valueBytes) return { kind: 'tooLong' };
+    const keyValues = parts.map((value, partIndex) => ({
+      key: dependencyListKey(uid, dependencyList, partIndex),
+      value,
+    }));
+    for (let firstIndex = 0; firstIndex < keyValues.length; firstIndex += limits.txnOps) {
+      const operations = keyValues.slice(firstIndex, firstIndex + limits.txnOps);
       const conditions = operations.map(({ key }) => ({ key, modRevision: 0 }));
       const result = await batcher.commitForUser(conditions, operations, SUBMIT_ANSWER_MS);
       if (result.outcome !== 'applied') return { kind: 'notWritten' };
     }
-    return { kind: 'fits', record: split };
+    return { kind: 'fits', record: splitRecord };
   }
 }
--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -1,4 +1,4 @@
-/** Reads jobs for users: no answer is older than any that was given before, by whichever controller. */
+/** Reads jobs for users. No answer is older than an earlier answer of any controller. */
 import { CompletionBitmap } from '../state/completion-bitmap.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import {
@@ -12,20 +12,20 @@
 import type { KeyValue } from '../state/store-client.js';
 import type { UserPhase } from './codec.js';
 
-/** The stored value of a job is not one that any version writes. */
+/** Thrown if the stored value of a job is not one that any version of the program writes. */
 export class MalformedJobRecordError extends Error {
   override readonly name = 'MalformedJobRecordError';
 
-  /** `key`: of the value in the state store. */
+  /** `key` is the key of the value in the state store. */
   constructor(readonly key: string) {
-    super(`the value of ${key} is not one of a job`);
+    super(`stored value of ${key} is not a job record`);
   }
 }
 
-/** A job as it is stored, and where. */
+/** The stored record of a job, and the key and value that it was decoded from. */
 export interface StoredJob {
   readonly record: JobRecord;
-  /** The value that was read; a write names its revision. */
+  /** The key and value that were read. A conditional write names their revision. */
   readonly keyValue: KeyValue;
 }
 
@@ -33,29 +33,30 @@
 export interface JobReaderDependencies {
   readonly replica: StateReplica;
   readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
-  /** Running tasks of a job, for display. */
+  /** Number of running tasks of a job, for display. */
   readonly runningTaskCount: (uid: string) => number;
 }
 
-/** Reads jobs through the replica, and through the state store where the replica may be behind. */
+/** Reads jobs from the replica, and waits for a read of the state store if the replica may be behind. */
 export class JobReader {
   constructor(private readonly dependencies: JobReaderDependencies) {}
 
   /**
-   * The job as the state store holds it after this call began; only final states are taken from the replica as it is.
-   * Undefined: it was never accepted. Throws MalformedJobRecordError.
+   * Reads the job as the state store holds it after this call began. Only final states are taken from the replica as it
+   * is. Undefined if the job was never accepted. Throws MalformedJobRecordError.
    */
   async read(uid: string): Promise<StoredJob | undefined> {
     const { replica } = this.dependencies;
     const key = jobKey(uid);
-    const cached = replica.get(key);
-    const cachedRecord = cached && this.decode(uid, cached);
-    if (cachedRecord && cachedRecord.phase !== 'open') return { record: cachedRecord, keyValue: cached };
+    const cachedKeyValue = replica.get(key);
+    const cachedRecord = cachedKeyValue && this.decode(uid, cachedKeyValue);
+    if (cachedRecord && cachedRecord.phase !== 'open')
+      return { record: cachedRecord, keyValue: cachedKeyValue };
     await replica.linearizableRead();
     const keyValue = replica.get(key);
     if (!keyValue) return undefined;
     const record = this.decode(uid, keyValue);
-    // Something is stored: its job must not be called unknown, nor anything else.
+    // A value is stored, so the job must not be reported as unknown or as having any state.
     if (!record) throw new MalformedJobRecordError(key);
     return { record, keyValue };
   }
@@ -66,30 +67,33 @@
     return this.dependencies.replica.get(jobKey(uid)) !== undefined;
   }
 
-  /** What a user is told of the job's state. */
-  phaseOf(uid: string, record: JobRecord): UserPhase {
+  /** The state of the job as users see it. */
+  getUserPhase(uid: string, record: JobRecord): UserPhase {
     if (record.phase === 'done') return 'done';
     if (record.phase === 'cancelled') return 'withdrawn';
     return this.dependencies.runningTaskCount(uid) > 0 ? 'running' : 'pending';
   }
 
-  /** Tasks that run now, for display. */
-  runningTasksOf(uid: string, record: JobRecord): number {
+  /** Number of tasks that run now, for display. */
+  countRunningTasks(uid: string, record: JobRecord): number {
     return record.phase === 'open' ? this.dependencies.runningTaskCount(uid) : 0;
   }
 
-  /** Tasks that have completed, for display. */
-  completedTasksOf(uid: string, record: JobRecord): number {
+  /** Number of tasks that have completed, for display. */
+  countCompletedTasks(uid: string, record: JobRecord): number {
     if (record.phase === 'done') return record.tasks;
-    let count = countCompleted(record.tasks, record.completed);
+    let count = countCompletedInSegment(record.tasks, record.completed);
     for (let segment = 1; segment < completionSegmentCount(record.tasks); segment++) {
       const encoded = this.dependencies.replica.get(completionSegmentKey(uid, segment))?.value;
-      if (typeof encoded === 'string') count += countCompleted(record.tasks, encoded);
+      if (typeof encoded === 'string') count += countCompletedInSegment(record.tasks, encoded);
     }
     return count;
   }
 
-  /** A job is cancelled if it, or any job that it depends on, is: also before that is written for it. */
+  /**
+   * Decodes the record of a job. The job is cancelled if it or any job that it depends on is cancelled, even before
+   * that is written to its record.
+   */
   private decode(uid: string, { value }: KeyValue): JobRecord | undefined {
     const record = decodeJob(value);
     if (record?.phase !== 'open') return record;
@@ -98,8 +102,8 @@
   }
 }
 
-/** Completed tasks of one stored segment of a completion bitmap. */
-function countCompleted(taskCount: number, encoded: string): number {
+/** Number of completed tasks in one stored segment of a completion bitmap. */
+function countCompletedInSegment(taskCount: number, encoded: string): number {
   const segment = new CompletionBitmap(taskCount);
   segment.mergeEncoded(0, encoded);
   return segment.completedCount;
--- a/src/api/request-limiter.ts
+++ b/src/api/request-limiter.ts
@@ -1,4 +1,7 @@
-/** Bounds the users' requests in progress: each gets one response in time, those beyond the bound come back later. */
+/**
+ * Limits the user requests in progress. Each request gets one response in time, and requests beyond the limit have to
+ * be retried later.
+ */
 import type { Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
 import { MAX_USERS_WAITING } from '../constants.js';
@@ -9,42 +12,45 @@
 export interface RequestLimiterDependencies {
   readonly clock: Clock;
   readonly log: Logger;
-  /** Whether memory is so short that users must wait. */
+  /** Whether memory is so short that user requests are rejected. */
   readonly isShortOfMemory: () => boolean;
   /** Whether this controller can serve users. */
   readonly isHealthy: () => boolean;
 }
 
-/** Admits users' requests up to MAX_USERS_WAITING at a time. */
+/** Admits up to MAX_USERS_WAITING user requests at a time. */
 export class RequestLimiter {
-  private inProgress = 0;
+  private requestsInProgress = 0;
 
   constructor(private readonly dependencies: RequestLimiterDependencies) {}
 
-  /** Runs `work` and responds with its result; with 503 when it fails or takes longer than `timeoutMs`. */
-  run(timeoutMs: number, respond: Respond, work: () => Promise<HttpResponse>): void {
+  /** Responds with the result of `handleRequest`, or with 503 if it fails or takes longer than `timeoutMs`. */
+  run(timeoutMs: number, respond: Respond, handleRequest: () => Promise<HttpResponse>): void {
     const { clock, log, isShortOfMemory } = this.dependencies;
-    if (this.inProgress >= MAX_USERS_WAITING) return respond(TRY_AGAIN);
+    if (this.requestsInProgress >= MAX_USERS_WAITING) return respond(TRY_AGAIN);
     if (isShortOfMemory()) return respond({ ...TRY_AGAIN, close: true });
-    this.inProgress++;
-    let hasEnded = false;
-    const end = (response: HttpResponse): void => {
-      if (hasEnded) return;
-      hasEnded = true;
+    this.requestsInProgress++;
+    let hasFinished = false;
+    const finish = (response: HttpResponse): void => {
+      if (hasFinished) return;
+      hasFinished = true;
       cancelTimeout();
-      this.inProgress--;
-      respond(this.redirectIfUnhealthy(response));
+      this.requestsInProgress--;
+      respond(this.closeIfUnhealthy(response));
     };
-    const cancelTimeout = clock.after(timeoutMs, () => end(TRY_AGAIN));
-    work().then(end, (error: unknown) => {
-      log.debug({ err: error }, 'request not served');
-      end(TRY_AGAIN);
+    const cancelTimeout = clock.after(timeoutMs, () => finish(TRY_AGAIN));
+    handleRequest().then(finish, (error: unknown) => {
+      log.debug({ err: error }, 'request failed');
+      finish(TRY_AGAIN);
     });
   }
 
-  /** A controller that cannot serve closes the connection: the load balancer never moves open ones. */
-  private redirectIfUnhealthy(response: HttpResponse): HttpResponse {
-    const isUnserved = response.status === 503 && !this.dependencies.isHealthy();
-    return isUnserved ? { ...response, close: true } : response;
+  /**
+   * Closes the connection after a 503 of a controller that can't serve users, because the load balancer never moves
+   * open connections.
+   */
+  private closeIfUnhealthy(response: HttpResponse): HttpResponse {
+    const shouldClose = response.status === 503 && !this.dependencies.isHealthy();
+    return shouldClose ? { ...response, close: true } : response;
   }
 }
--- a/src/api/responses.ts
+++ b/src/api/responses.ts
@@ -1,9 +1,9 @@
-/** Responses that several routes of the users' interface give. */
+/** Responses that several routes of the user API share. */
 import { RETRY_AFTER_S } from '../constants.js';
 import type { HttpResponse } from '../http/message.js';
 import { formatJson } from '../wire/json.js';
 
-/** The controller cannot decide now; the user comes back later. */
+/** The response if the controller can't decide now. The user has to retry later. */
 export const TRY_AGAIN: HttpResponse = {
   status: 503,
   body: '{"error":"try again"}',
@@ -11,7 +11,10 @@
 };
 
 /** A response with a JSON body. */
-export const reply = (status: number, body: unknown): HttpResponse => ({ status, body: formatJson(body) });
+export const jsonResponse = (status: number, body: unknown): HttpResponse => ({
+  status,
+  body: formatJson(body),
+});
 
 /** A response that says what is wrong with the request. */
-export const problem = (status: number, error: string): HttpResponse => reply(status, { error });
+export const errorResponse = (status: number, error: string): HttpResponse => jsonResponse(status, { error });
--- a/src/api/submission-handler.ts
+++ b/src/api/submission-handler.ts
@@ -1,4 +1,4 @@
-/** Accepts jobs: a submission is answered 201 only once it is stored, and the same job is accepted once. */
+/** Accepts jobs. A submission is answered with 201 only once the job is stored, and a job is accepted only once. */
 import type { Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
 import type { InstanceType } from '../autoscaler/cloud-codec.js';
@@ -16,11 +16,11 @@
 } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 import type { TransactionBatcher } from '../state/transaction-batcher.js';
-import { rejectionReason } from './admission.js';
-import { decodeSubmission, encodeState, MalformedSubmissionError } from './codec.js';
+import { findRejectionReason } from './admission.js';
+import { decodeSubmission, encodeJobState, MalformedSubmissionError } from './codec.js';
 import type { DependencyListWriter } from './dependency-list-writer.js';
 import type { JobReader } from './job-reader.js';
-import { problem, reply, TRY_AGAIN } from './responses.js';
+import { errorResponse, jsonResponse, TRY_AGAIN } from './responses.js';
 
 /** Dependencies of `SubmissionHandler`. */
 export interface SubmissionHandlerDependencies {
@@ -44,50 +44,59 @@
   }
 
   /**
-   * The response to a submission: 201, 200 for a known job, 400, 422, or 503 where it can't be decided now. One method, as
-   * answers that wait for the same read keep their order only while each awaits as often as before.
+   * Handles a submission. The status of the response is 201 for a new job, 200 for a known job, 400 for a malformed
+   * submission, 422 for a job that is rejected, or 503 if that can't be decided now. This is one method, because
+   * responses that wait for the same read stay in order only as long as the number of awaits does not change.
    */
   async submit(body: string): Promise<HttpResponse> {
     const spec = this.decode(body);
-    if (spec instanceof MalformedSubmissionError) return problem(400, spec.message);
+    if (spec instanceof MalformedSubmissionError) return errorResponse(400, spec.message);
     const { replica, batcher, jobReader, dependencyLists, clock } = this.dependencies;
-    const { uid, dependencies = [] } = spec;
+    const { uid, dependencies: dependencyUids = [] } = spec;
     const key = jobKey(uid);
-    if (replica.get(key)) return this.describeKnown(uid);
+    if (replica.get(key)) return this.respondToResubmission(uid);
     if (!this.canAccept()) return TRY_AGAIN;
-    const rejection = this.reject(spec);
-    // An accepted job must never be rejected, whatever has changed since: read before rejecting.
-    if (rejection) return (await jobReader.isAccepted(uid)) ? this.describeKnown(uid) : rejection;
-    const unknown = await this.findNeverAccepted(dependencies);
-    if (unknown !== undefined)
-      return replica.get(key) ? this.describeKnown(uid) : problem(422, `${unknown} was never accepted`);
-    const service = dependencies.find((dependency) => this.isService(dependency));
-    if (service !== undefined) return problem(422, `${service} is a service and never done`);
-    const fitted = await dependencyLists.fit(newRecord(spec, clock.wallMs()));
-    if (fitted.kind === 'tooLong') return problem(422, 'the description is longer than can be kept');
-    if (fitted.kind === 'notWritten') return TRY_AGAIN;
+    const rejection = this.findRejection(spec);
+    // An accepted job must never be rejected, whatever has changed since it was accepted. The state store is therefore
+    // read before a rejection.
+    if (rejection) return (await jobReader.isAccepted(uid)) ? this.respondToResubmission(uid) : rejection;
+    const unknownDependency = await this.findNeverAccepted(dependencyUids);
+    if (unknownDependency !== undefined)
+      return replica.get(key)
+        ? this.respondToResubmission(uid)
+        : errorResponse(422, `${unknownDependency} was never accepted`);
+    const serviceDependency = dependencyUids.find((dependencyUid) => this.isService(dependencyUid));
+    if (serviceDependency !== undefined)
+      return errorResponse(422, `${serviceDependency} is a service and never done`);
+    const fittedRecord = await dependencyLists.fitToStore(createJobRecord(spec, clock.wallMs()));
+    if (fittedRecord.kind === 'tooLong')
+      return errorResponse(422, 'the description is longer than can be kept');
+    if (fittedRecord.kind === 'notWritten') return TRY_AGAIN;
     const result = await batcher.commitForUser(
       [{ key, modRevision: 0 }],
-      [{ key, value: encodeJob(fitted.record) }],
+      [{ key, value: encodeJob(fittedRecord.record) }],
       SUBMIT_ANSWER_MS,
     );
-    if (result.outcome === 'applied') return this.confirm(spec);
+    if (result.outcome === 'applied') return this.confirmAcceptance(spec);
     if (result.outcome === 'refused') return TRY_AGAIN;
-    return (await jobReader.isAccepted(uid)) ? this.describeKnown(uid) : TRY_AGAIN;
+    return (await jobReader.isAccepted(uid)) ? this.respondToResubmission(uid) : TRY_AGAIN;
   }
 
-  /** What can't be accepted now is answered at once; its user is told when to come back. */
+  /** Whether jobs can be accepted now. If not, the user is told at once when to retry. */
   private canAccept(): boolean {
     const { replica, batcher, isStoreAvailable } = this.dependencies;
     return replica.isLoaded && !batcher.isFull && isStoreAvailable();
   }
 
-  /** The response to a job that can never run, or of which that can't be told yet; undefined when it can run. */
-  private reject(spec: JobSpec): HttpResponse | undefined {
-    const instanceTypes = this.instanceTypes();
+  /**
+   * The response to a job that can never run, or for which it is not known yet whether it can. Undefined if the job can
+   * run.
+   */
+  private findRejection(spec: JobSpec): HttpResponse | undefined {
+    const instanceTypes = this.readInstanceTypes();
     if (!instanceTypes) return TRY_AGAIN;
-    const reason = rejectionReason(spec, instanceTypes, this.quotas);
-    return reason === undefined ? undefined : problem(422, reason);
+    const reason = findRejectionReason(spec, instanceTypes, this.quotas);
+    return reason === undefined ? undefined : errorResponse(422, reason);
   }
 
   private decode(body: string): JobSpec | MalformedSubmissionError {
@@ -95,13 +104,16 @@
       return decodeSubmission(body);
     } catch (error) {
       if (!(error instanceof MalformedSubmissionError)) throw error;
-      const logged = { reason: error.message, body: body.slice(0, LOGGED_BODY) };
-      this.dependencies.log.info(logged, 'submission refused as malformed');
+      const logFields = { reason: error.message, body: body.slice(0, LOGGED_BODY) };
+      this.dependencies.log.info(logFields, 'malformed submission rejected');
       return error;
     }
   }
 
-  /** The first of these jobs that was never accepted, which only a read that began just now can tell. */
+  /**
+   * Finds the first of these jobs that was never accepted. Only a read of the state store that starts now can prove
+   * that. Undefined if all of them were accepted.
+   */
   private async findNeverAccepted(uids: readonly string[]): Promise<string | undefined> {
     const { replica } = this.dependencies;
     const isMissing = (uid: string): boolean => replica.get(jobKey(uid)) === undefined;
@@ -114,27 +126,27 @@
     return decodeJob(this.dependencies.replica.get(jobKey(uid))?.value)?.spec?.kind === 'service';
   }
 
-  private confirm(spec: JobSpec): HttpResponse {
+  private confirmAcceptance(spec: JobSpec): HttpResponse {
     const { uid: job, team, jobClass, tasks, estimatedRunS, deadlineS } = spec;
     this.dependencies.log.info({ job, team, jobClass, tasks, estimatedRunS, deadlineS }, 'job accepted');
-    return reply(201, encodeState(job, 'pending'));
+    return jsonResponse(201, encodeJobState(job, 'pending'));
   }
 
   /** The response to a repeated submission of an accepted job. */
-  private async describeKnown(uid: string): Promise<HttpResponse> {
+  private async respondToResubmission(uid: string): Promise<HttpResponse> {
     const { jobReader } = this.dependencies;
     const job = await jobReader.read(uid);
-    return job ? reply(200, encodeState(uid, jobReader.phaseOf(uid, job.record))) : TRY_AGAIN;
+    return job ? jsonResponse(200, encodeJobState(uid, jobReader.getUserPhase(uid, job.record))) : TRY_AGAIN;
   }
 
-  /** The instance types of the cloud; undefined before any leader has stored them. */
-  private instanceTypes(): InstanceType[] | undefined {
+  /** Reads the instance types of the cloud. Undefined if no leader has stored them yet. */
+  private readInstanceTypes(): InstanceType[] | undefined {
     const instanceTypes = decodeInstanceTypes(this.dependencies.replica.get(CATALOG_KEY)?.value);
     return instanceTypes.length > 0 ? instanceTypes : undefined;
   }
 }
 
-function newRecord(spec: JobSpec, acceptedMs: number): JobRecord {
+function createJobRecord(spec: JobSpec, acceptedMs: number): JobRecord {
   return {
     phase: 'open',
     tasks: spec.tasks,
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -1,4 +1,4 @@
-/** The routes of a controller: users' requests, health checks, and the workers' heartbeats. */
+/** Routes the HTTP requests to a controller: user requests, health checks and the workers' heartbeats. */
 import { assertNever, type Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
 import type { Heartbeat } from '../cluster/worker-messages.js';
@@ -13,16 +13,16 @@
 import { CancellationHandler } from './cancellation-handler.js';
 import {
   CANCEL_ACTION,
-  encodeStatus,
+  encodeJobStatus,
   HEALTH_PATH,
   HEARTBEAT_PATH,
-  isUid,
+  isJobUid,
   SUBMISSIONS_PATH,
 } from './codec.js';
 import { DependencyListWriter } from './dependency-list-writer.js';
 import { JobReader } from './job-reader.js';
 import { RequestLimiter } from './request-limiter.js';
-import { problem, reply, TRY_AGAIN } from './responses.js';
+import { errorResponse, jsonResponse, TRY_AGAIN } from './responses.js';
 import { SubmissionHandler } from './submission-handler.js';
 
 /** Dependencies of `UserApi`. */
@@ -31,97 +31,97 @@
   readonly replica: StateReplica;
   readonly batcher: TransactionBatcher;
   readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
-  /** Of the state store: bytes of a value, and puts in a transaction. */
+  /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
   readonly limits: { readonly valueBytes: number; readonly txnOps: number };
   readonly random: () => number;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Running tasks of a job, for display. */
+  /** Number of running tasks of a job, for display. */
   readonly runningTaskCount: (uid: string) => number;
   /** Whether the state store serves this controller. */
   readonly isStoreAvailable: () => boolean;
-  /** Whether memory is so short that users must wait. */
+  /** Whether memory is so short that user requests are rejected. */
   readonly isShortOfMemory: () => boolean;
   /** Whether this controller can serve users. */
   readonly isHealthy: () => boolean;
-  /** Routes a worker's heartbeat; an accepted one is answered through `respond`. */
+  /** Routes a worker's heartbeat. A heartbeat that is accepted is answered through `respond`. */
   readonly routeHeartbeat: (heartbeat: Heartbeat, body: string, respond: Respond) => HeartbeatRoute;
 }
 
-/** The users' interface, and the workers' way in, on every controller. */
+/** The HTTP interface of every controller. It serves users and receives the workers' heartbeats. */
 export class UserApi {
-  private readonly limiter: RequestLimiter;
+  private readonly requestLimiter: RequestLimiter;
   private readonly jobReader: JobReader;
-  private readonly submissions: SubmissionHandler;
-  private readonly cancellations: CancellationHandler;
+  private readonly submissionHandler: SubmissionHandler;
+  private readonly cancellationHandler: CancellationHandler;
 
   constructor(private readonly dependencies: UserApiDependencies) {
-    this.limiter = new RequestLimiter(dependencies);
+    this.requestLimiter = new RequestLimiter(dependencies);
     this.jobReader = new JobReader(dependencies);
     const { jobReader } = this;
     const dependencyLists = new DependencyListWriter(dependencies);
-    this.submissions = new SubmissionHandler({ ...dependencies, jobReader, dependencyLists });
-    this.cancellations = new CancellationHandler({ ...dependencies, jobReader });
+    this.submissionHandler = new SubmissionHandler({ ...dependencies, jobReader, dependencyLists });
+    this.cancellationHandler = new CancellationHandler({ ...dependencies, jobReader });
   }
 
-  /** Handles one request; `respond` is called once, now or later. */
+  /** Handles one request. `respond` is called once, now or later. */
   handle(request: HttpRequest, respond: Respond): void {
     if (request.path === HEARTBEAT_PATH) return this.handleHeartbeat(request, respond);
     if (request.path === HEALTH_PATH) return respond(this.healthResponse(request));
     if (request.path === SUBMISSIONS_PATH) return this.handleSubmission(request, respond);
     if (request.path.startsWith(`${SUBMISSIONS_PATH}/`)) return this.handleJobRequest(request, respond);
-    respond(problem(404, 'no such path'));
+    respond(errorResponse(404, 'no such path'));
   }
 
   private healthResponse({ method }: HttpRequest): HttpResponse {
-    if (method !== 'GET') return problem(405, 'GET only');
-    return this.dependencies.isHealthy() ? reply(200, { status: 'ok' }) : TRY_AGAIN;
+    if (method !== 'GET') return errorResponse(405, 'GET only');
+    return this.dependencies.isHealthy() ? jsonResponse(200, { status: 'ok' }) : TRY_AGAIN;
   }
 
   private handleSubmission({ method, body }: HttpRequest, respond: Respond): void {
-    if (method !== 'POST') return respond(problem(405, 'POST only'));
-    this.limiter.run(SUBMIT_ANSWER_MS, respond, () => this.submissions.submit(body));
+    if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
+    this.requestLimiter.run(SUBMIT_ANSWER_MS, respond, () => this.submissionHandler.submit(body));
   }
 
-  /** A question about one job, or its cancellation. */
+  /** Handles a status request for one job, or its cancellation. */
   private handleJobRequest({ method, path }: HttpRequest, respond: Respond): void {
-    const [uid = '', action, rest] = path.slice(SUBMISSIONS_PATH.length + 1).split('/');
-    if (rest === undefined && action === CANCEL_ACTION) {
-      if (method !== 'POST') return respond(problem(405, 'POST only'));
-      return this.limiter.run(SUBMIT_ANSWER_MS, respond, () => this.cancellations.cancel(uid));
+    const [uid = '', action, extraSegment] = path.slice(SUBMISSIONS_PATH.length + 1).split('/');
+    if (extraSegment === undefined && action === CANCEL_ACTION) {
+      if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
+      return this.requestLimiter.run(SUBMIT_ANSWER_MS, respond, () => this.cancellationHandler.cancel(uid));
     }
     if (action === undefined) {
-      if (method !== 'GET') return respond(problem(405, 'GET only'));
-      return this.limiter.run(POLL_ANSWER_MS, respond, () => this.poll(uid));
+      if (method !== 'GET') return respond(errorResponse(405, 'GET only'));
+      return this.requestLimiter.run(POLL_ANSWER_MS, respond, () => this.readJobStatus(uid));
     }
-    respond(problem(404, 'no such path'));
+    respond(errorResponse(404, 'no such path'));
   }
 
-  private async poll(uid: string): Promise<HttpResponse> {
-    if (!isUid(uid)) return problem(404, 'no such job');
+  private async readJobStatus(uid: string): Promise<HttpResponse> {
+    if (!isJobUid(uid)) return errorResponse(404, 'no such job');
     const job = await this.jobReader.read(uid);
-    if (!job) return problem(404, 'no such job');
+    if (!job) return errorResponse(404, 'no such job');
     const { record } = job;
     const status = {
-      phase: this.jobReader.phaseOf(uid, record),
-      completedTasks: this.jobReader.completedTasksOf(uid, record),
-      runningTasks: this.jobReader.runningTasksOf(uid, record),
+      phase: this.jobReader.getUserPhase(uid, record),
+      completedTasks: this.jobReader.countCompletedTasks(uid, record),
+      runningTasks: this.jobReader.countRunningTasks(uid, record),
     };
-    return reply(200, encodeStatus(uid, status));
+    return jsonResponse(200, encodeJobStatus(uid, status));
   }
 
   private handleHeartbeat({ method, body }: HttpRequest, respond: Respond): void {
-    if (method !== 'POST') return respond(problem(405, 'POST only'));
+    if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
     const heartbeat = parseHeartbeat(body);
-    if (!heartbeat) return respond(problem(400, 'no report'));
+    if (!heartbeat) return respond(errorResponse(400, 'no report'));
     const route = this.dependencies.routeHeartbeat(heartbeat, body, respond);
     switch (route.kind) {
       case 'accepted':
         return;
       case 'redirected':
-        return respond(reply(421, encodeRedirect(route.member)));
+        return respond(jsonResponse(421, encodeRedirect(route.member)));
       case 'unavailable':
-        return respond(problem(503, 'no leader'));
+        return respond(errorResponse(503, 'no leader'));
       default:
         assertNever(route);
     }
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -1,4 +1,4 @@
-/** Scale out: launches instances for what waits and finds no capacity, and for headroom. */
+/** Scales out: launches instances for waiting tasks that find no capacity, and for headroom. */
 import type { LaunchRefusalReason } from '@pumicehinge/duties';
 import type { ClusterState, Job, Node } from '../cluster/cluster-state.js';
 import type { NodeHealth } from '../cluster/node-health.js';
@@ -6,7 +6,7 @@
 import { MAX_INSTANCES_PER_LAUNCH } from '../constants.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
 import { timeToDeadlineS } from '../scheduler/time-estimates.js';
-import { demandOfHeadroom, type CapacityDemand } from './capacity-demand.js';
+import { toCapacityDemand, type CapacityDemand } from './capacity-demand.js';
 import type { InstanceType, LaunchRequest } from './cloud-codec.js';
 import { planHeadroom, type HeadroomDemand, type RecentJob, type StartObjective } from './headroom.js';
 import { IncomingCapacityFinder } from './incoming-capacity.js';
@@ -24,21 +24,21 @@
   readonly term: number;
   /** Instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, InstanceType>;
-  /** All that a node of this instance type has. */
+  /** The full resources of a node of this instance type. */
   readonly capacityOf: (type: string) => Resources;
   /** Whether spot instances may be launched at all. */
   readonly useSpot: boolean;
   readonly spotInterruptions: SpotInterruptionRate;
   readonly startObjectives: readonly StartObjective[];
-  /** The services from which headroom is estimated. */
+  /** Recent jobs. Headroom is estimated from the services among them. */
   readonly recentJobs: () => readonly RecentJob[];
   readonly wallMs: () => number;
   readonly launch: (request: LaunchRequest) => void;
 }
 
-/** Launches instances for waiting jobs, and keeps track of its requests. */
+/** Launches instances for waiting jobs and keeps track of the launch requests. */
 export class Autoscaler {
-  /** Requests without a response yet, by name. */
+  /** Launch requests that have no response yet, by request name. */
   private readonly pendingLaunches = new Map<string, LaunchRequest>();
   private readonly offeringBackoff: OfferingBackoff;
   private readonly spotPolicy: SpotPolicy;
@@ -47,120 +47,143 @@
   private launchCount = 0;
   private hasInstanceList = false;
 
-  constructor(private readonly deps: AutoscalerDependencies) {
-    this.offeringBackoff = new OfferingBackoff(deps.useSpot);
+  constructor(private readonly dependencies: AutoscalerDependencies) {
+    this.offeringBackoff = new OfferingBackoff(dependencies.useSpot);
     this.spotPolicy = new SpotPolicy({
-      instanceTypes: deps.instanceTypes,
+      instanceTypes: dependencies.instanceTypes,
       offeringBackoff: this.offeringBackoff,
-      spotInterruptions: deps.spotInterruptions,
-      wallMs: deps.wallMs,
+      spotInterruptionRate: dependencies.spotInterruptions,
+      wallMs: dependencies.wallMs,
     });
-    this.capacityFinder = new IncomingCapacityFinder(deps);
+    this.capacityFinder = new IncomingCapacityFinder(dependencies);
   }
 
-  /** The cloud's instance list was read. Before that nothing is launched: what an earlier leader launched shows in it. */
+  /**
+   * Records that the cloud's instance list was read. Nothing is launched before that, because the list shows which
+   * instances an earlier leader launched.
+   */
   markInstancesListed(): void {
     this.hasInstanceList = true;
   }
 
-  /** The cloud launched so many instances; fewer than requested mean that there are no more for now. */
-  handleLaunched({ name, offering, count }: LaunchRequest, launched: number, now: number): void {
+  /**
+   * Records how many instances the cloud launched. Fewer than requested mean that the offering has no more instances
+   * for now.
+   */
+  handleLaunched({ name, offering, count }: LaunchRequest, launchedCount: number, nowMs: number): void {
     this.pendingLaunches.delete(name);
-    if (launched < count) this.offeringBackoff.recordRefusal(offering, 'no capacity', now);
+    if (launchedCount < count) this.offeringBackoff.recordRefusal(offering, 'no capacity', nowMs);
   }
 
-  /** The cloud launched nothing. */
-  handleLaunchFailed({ name, offering }: LaunchRequest, reason: LaunchRefusalReason, now: number): void {
+  /** Records that the cloud launched nothing, and why. */
+  handleLaunchFailed({ name, offering }: LaunchRequest, reason: LaunchRefusalReason, nowMs: number): void {
     this.pendingLaunches.delete(name);
-    this.offeringBackoff.recordRefusal(offering, reason, now);
+    this.offeringBackoff.recordRefusal(offering, reason, nowMs);
   }
 
-  /** A request of an earlier term is still being carried out: its instances will come. */
+  /** Adopts a launch request of an earlier term that is still being carried out, so that its instances are expected. */
   adoptLaunch(request: LaunchRequest): void {
     this.pendingLaunches.set(request.name, request);
   }
 
-  /** Whether the node must not be terminated, as headroom counts on it. */
+  /** Whether the node must not be terminated because headroom relies on it. */
   isHeadroom(node: Node): boolean {
     return this.headroomNodes.has(node);
   }
 
-  /** Launches what the waiting jobs, in the order in which they are scheduled, and the headroom lack. */
-  scaleOut(waitingJobs: readonly Job[], now: number): void {
-    if (this.deps.instanceTypes().size === 0 || !this.hasInstanceList) return;
-    const demands = this.demandsOf(waitingJobs, now);
-    const headroom = this.planHeadroom();
-    if (demands.length === 0 && headroom.length === 0) return;
+  /**
+   * Launches the instances that the waiting jobs and the headroom lack. `waitingJobs` are in the order in which they
+   * are scheduled.
+   */
+  scaleOut(waitingJobs: readonly Job[], nowMs: number): void {
+    if (this.dependencies.instanceTypes().size === 0 || !this.hasInstanceList) return;
+    const demands = this.createDemands(waitingJobs, nowMs);
+    const headroomDemands = this.planHeadroom();
+    if (demands.length === 0 && headroomDemands.length === 0) return;
     const { plans, headroomNodes } = planScaleOut({
       demands,
-      incoming: this.capacityFinder.findIncoming(this.pendingLaunches.values(), now),
+      incomingCapacity: this.capacityFinder.findIncoming(this.pendingLaunches.values(), nowMs),
       availability: {
-        instanceTypes: [...this.deps.instanceTypes().values()],
-        isUnavailable: (offering) => this.offeringBackoff.isUnavailable(offering, now),
+        instanceTypes: [...this.dependencies.instanceTypes().values()],
+        isUnavailable: (offering) => this.offeringBackoff.isUnavailable(offering, nowMs),
       },
-      headroomDemands: headroom.map(demandOfHeadroom),
-      immediate: headroom.length > 0 ? this.capacityFinder.findImmediate(now) : [],
+      headroomDemands: headroomDemands.map(toCapacityDemand),
+      immediateCapacity: headroomDemands.length > 0 ? this.capacityFinder.findImmediate(nowMs) : [],
     });
     this.headroomNodes = headroomNodes;
     for (const plan of plans) this.launch(plan);
   }
 
   private planHeadroom(): HeadroomDemand[] {
-    const { startObjectives, recentJobs, instanceTypes, wallMs } = this.deps;
+    const { startObjectives, recentJobs, instanceTypes, wallMs } = this.dependencies;
     return planHeadroom(startObjectives, recentJobs(), [...instanceTypes().values()], wallMs());
   }
 
-  /** The demands of the waiting jobs, as far as the quotas of their teams go. */
-  private demandsOf(waitingJobs: readonly Job[], now: number): CapacityDemand[] {
+  /** Creates the demands of the waiting jobs, limited by the remaining quotas of their teams. */
+  private createDemands(waitingJobs: readonly Job[], nowMs: number): CapacityDemand[] {
     const demands: CapacityDemand[] = [];
-    const plannedPerTeam = new Map<string, MutableResources>();
+    const plannedResourcesByTeam = new Map<string, MutableResources>();
     for (const job of waitingJobs) {
       const { spec } = job;
-      const deadlineS = timeToDeadlineS(job, this.deps.wallMs());
-      this.spotPolicy.apply(job, now);
-      // What is launched for one job of a team counts against the team's quota for its next.
-      const planned = plannedPerTeam.get(spec.team) ?? { cpus: 0, accelerators: 0, memGb: 0 };
-      plannedPerTeam.set(spec.team, planned);
-      const count = Math.min(job.pendingTasks, this.deps.scheduler.remainingQuotaOf(job, planned));
-      if (count <= 0) continue;
-      planned.cpus += count * spec.cpus;
-      planned.accelerators += count * spec.accelerators;
-      demands.push(this.demandOf(job, count, deadlineS, now));
+      const secondsToDeadline = timeToDeadlineS(job, this.dependencies.wallMs());
+      this.spotPolicy.updateSpotPreference(job, nowMs);
+      // Resources planned for one job of a team count against the team's quota for the jobs that follow.
+      const plannedResources = plannedResourcesByTeam.get(spec.team) ?? {
+        cpus: 0,
+        accelerators: 0,
+        memGb: 0,
+      };
+      plannedResourcesByTeam.set(spec.team, plannedResources);
+      const taskCount = Math.min(
+        job.pendingTasks,
+        this.dependencies.scheduler.remainingQuotaOf(job, plannedResources),
+      );
+      if (taskCount <= 0) continue;
+      plannedResources.cpus += taskCount * spec.cpus;
+      plannedResources.accelerators += taskCount * spec.accelerators;
+      demands.push(this.createDemand(job, taskCount, secondsToDeadline, nowMs));
     }
     return demands;
   }
 
-  private demandOf(job: Job, count: number, deadlineS: number, now: number): CapacityDemand {
+  private createDemand(
+    job: Job,
+    taskCount: number,
+    secondsToDeadline: number,
+    nowMs: number,
+  ): CapacityDemand {
     return {
       spec: job.spec,
       expectedRunTimeS: job.progress.expectedRunTimeS,
-      count,
+      taskCount,
       allocationsPerZone: job.allocationsPerZone,
       mayUseOnDemand: job.mayLaunchOnDemand,
       avoidsSpot: job.avoidsSpot,
-      waitedS: (now - job.queueTimes.pendingSinceMs) / 1000,
-      timeToDeadlineS: deadlineS,
-      timeToStartObjectiveS: this.timeToStartObjectiveS(job),
+      waitedS: (nowMs - job.queueTimes.pendingSinceMs) / 1000,
+      timeToDeadlineS: secondsToDeadline,
+      timeToStartObjectiveS: this.computeTimeToStartObjectiveS(job),
     };
   }
 
-  private timeToStartObjectiveS(job: Job): number {
-    const objective = this.deps.startObjectives.find(({ jobClass }) => jobClass === job.spec.jobClass);
+  private computeTimeToStartObjectiveS(job: Job): number {
+    const objective = this.dependencies.startObjectives.find(
+      ({ jobClass }) => jobClass === job.spec.jobClass,
+    );
     if (!objective) return Infinity;
-    const remainingS = objective.withinS - (this.deps.wallMs() - job.queuedMs) / 1000;
+    const remainingS = objective.withinS - (this.dependencies.wallMs() - job.queuedMs) / 1000;
     return remainingS > 0 ? remainingS : Infinity;
   }
 
-  /** Requests the planned instances, in as many requests as the cloud's limit needs. */
+  /** Requests the planned instances, split into several requests if the cloud's limit per request requires it. */
   private launch({ offering, count }: ScaleOutPlan): void {
-    for (let remaining = count; remaining > 0; remaining -= MAX_INSTANCES_PER_LAUNCH) {
+    for (let remainingCount = count; remainingCount > 0; remainingCount -= MAX_INSTANCES_PER_LAUNCH) {
       const request: LaunchRequest = {
-        name: `r-${this.deps.term}-${++this.launchCount}`,
+        name: `r-${this.dependencies.term}-${++this.launchCount}`,
         offering,
-        count: Math.min(remaining, MAX_INSTANCES_PER_LAUNCH),
+        count: Math.min(remainingCount, MAX_INSTANCES_PER_LAUNCH),
       };
       this.pendingLaunches.set(request.name, request);
-      this.deps.launch(request);
+      this.dependencies.launch(request);
     }
   }
 }
--- a/src/autoscaler/capacity-demand.ts
+++ b/src/autoscaler/capacity-demand.ts
@@ -1,34 +1,34 @@
-/** What waiting tasks ask of the autoscaler. */
+/** The capacity that waiting tasks need from the autoscaler. */
 import type { JobSpec } from '../state/records.js';
 import type { HeadroomDemand } from './headroom.js';
 
 /** Waiting tasks of one job. */
 export interface CapacityDemand {
   readonly spec: JobSpec;
-  /** Seconds that a task of it is expected to run. */
+  /** Seconds that one task of the job is expected to run. */
   readonly expectedRunTimeS: number;
-  /** How many tasks wait. */
-  readonly count: number;
-  /** Tasks of the job that are, or may be, on nodes. */
+  /** Number of waiting tasks. */
+  readonly taskCount: number;
+  /** Number of tasks of the job that are, or may be, on nodes, by zone. */
   readonly allocationsPerZone: ReadonlyMap<string, number>;
-  /** Whether on-demand instances may be launched for it; spot instances may be if the job allows them. */
+  /** Whether on-demand instances may be launched for the job. Spot instances may be launched if the job allows them. */
   readonly mayUseOnDemand: boolean;
-  /** Whether the interruption of a spot instance would make it late. */
+  /** Whether the job avoids spot instances because an interruption would make it late. */
   readonly avoidsSpot: boolean;
-  /** Seconds for which it has waited for capacity. */
+  /** Seconds for which the job has waited for capacity. */
   readonly waitedS: number;
-  /** Seconds to its deadline; Infinity: it has none. */
+  /** Seconds until the job's deadline. Infinity if it has none. */
   readonly timeToDeadlineS: number;
-  /** Seconds within which its tasks are to start by the objectives; Infinity: there is none, or it was missed. */
+  /** Seconds left to start the job's tasks within its start objective. Infinity if it has none or has missed it. */
   readonly timeToStartObjectiveS: number;
 }
 
-/** The demand of headroom, as if its tasks were waiting. */
-export function demandOfHeadroom({ spec, count }: HeadroomDemand): CapacityDemand {
+/** Converts a headroom demand into the capacity demand that its tasks would have if they were waiting. */
+export function toCapacityDemand({ spec, taskCount }: HeadroomDemand): CapacityDemand {
   return {
     spec,
     expectedRunTimeS: 0,
-    count,
+    taskCount,
     allocationsPerZone: new Map(),
     mayUseOnDemand: true,
     avoidsSpot: false,
--- a/src/autoscaler/capacity-pool.ts
+++ b/src/autoscaler/capacity-pool.ts
@@ -13,143 +13,154 @@
 import type { InstanceOffering } from './cloud-codec.js';
 import type { IncomingCapacity } from './incoming-capacity.js';
 
-/** Capacity in a pool, less what demands have reserved of it. */
+/** Capacity in a pool. `free` is the part that no demand has reserved. */
 export interface PooledCapacity extends IncomingCapacity {
   readonly free: MutableResources;
-  /** Whether a demand has reserved any of it. */
+  /** Whether a demand has reserved any part of the capacity. */
   isReserved: boolean;
 }
 
 /** The capacity of one zone, in the order in which demands reserve it. */
 interface ZoneCapacity {
-  /** Of running tasks, soonest first. */
+  /** Capacity held by running tasks, the soonest to complete first. */
   occupied: PooledCapacity[];
-  /** Of nodes on their way, or there. */
-  open: PooledCapacity[];
+  /** Capacity of nodes that are launching, booting or ready. */
+  unoccupied: PooledCapacity[];
 }
 
-/** Copies of the incoming capacity, by zone. */
+/** Holds copies of the incoming capacity, by zone. */
 export class CapacityPool {
   private readonly zones = new Map<string, ZoneCapacity>();
   private readonly unoccupied: PooledCapacity[] = [];
 
   constructor(incoming: Iterable<IncomingCapacity>) {
     for (const capacity of incoming) {
-      if (capacity.occupied) this.zoneOf(capacity.zone).occupied.push(pooled(capacity));
+      if (capacity.isOccupied) this.getOrCreateZone(capacity.zone).occupied.push(toPooledCapacity(capacity));
       else this.add(capacity);
     }
-    for (const { occupied } of this.zones.values()) occupied.sort((a, b) => a.readyS - b.readyS);
+    for (const { occupied } of this.zones.values()) occupied.sort((a, b) => a.readyInS - b.readyInS);
   }
 
-  /** All but the capacity of running tasks, also where nothing of it is left, in the order in which it was added. */
+  /**
+   * The capacity that no running task holds, in the order in which it was added. It includes capacity that is used up.
+   */
   get unoccupiedCapacity(): readonly IncomingCapacity[] {
     return this.unoccupied;
   }
 
-  /** The nodes of which demands have reserved capacity. */
+  /** The nodes on which demands have reserved capacity. */
   reservedNodes(): Set<Node> {
     const nodes = new Set<Node>();
     for (const { isReserved, node } of this.unoccupied) if (isReserved && node) nodes.add(node);
     return nodes;
   }
 
-  /** Adds a copy of the capacity, and returns it. */
+  /** Adds a copy of the capacity and returns the copy. */
   add(capacity: IncomingCapacity): PooledCapacity {
-    const copy = pooled(capacity);
+    const copy = toPooledCapacity(capacity);
     this.unoccupied.push(copy);
-    this.zoneOf(copy.zone).open.push(copy);
+    this.getOrCreateZone(copy.zone).unoccupied.push(copy);
     return copy;
   }
 
-  /** Reserves for the demand what is in the pool. */
+  /** Reserves as much capacity of the pool as the demand can use. */
   reserveFor(reservation: Reservation): void {
-    for (const capacity of this.candidates(reservation)) {
-      if (reservation.remaining <= 0) break;
+    for (const capacity of this.findCandidates(reservation)) {
+      if (reservation.remainingTasks <= 0) break;
       if (reservation.canUse(capacity)) reservation.reserve(capacity);
     }
-    if (reservation.remaining < reservation.demand.count) this.dropUsedUp();
+    if (reservation.remainingTasks < reservation.demand.taskCount) this.removeExhausted();
   }
 
-  /** What the demand may reserve: first the capacity of running tasks, as far as these complete in time. */
-  private *candidates({ demand, allocationsPerZone }: Reservation): Iterable<PooledCapacity> {
-    const latestS = latestCompletionS(demand);
-    for (const [zone, { occupied, open }] of this.zones) {
+  /**
+   * The capacity that the demand may reserve. In each zone, the capacity of running tasks that complete in time comes
+   * first.
+   */
+  private *findCandidates({ demand, allocationsPerZone }: Reservation): Iterable<PooledCapacity> {
+    const latestReadyS = computeLatestCompletionS(demand);
+    for (const [zone, { occupied, unoccupied }] of this.zones) {
       if (!allowsZone(demand.spec, allocationsPerZone, zone)) continue;
       for (const capacity of occupied) {
-        if (capacity.readyS > latestS) break;
+        if (capacity.readyInS > latestReadyS) break;
         yield capacity;
       }
-      yield* open;
+      yield* unoccupied;
     }
   }
 
-  /** Removes what is used up, so that the next of hundreds of demands need not skip it again. */
-  private dropUsedUp(): void {
+  /**
+   * Removes capacity that is used up, so that the following demands, of which there may be hundreds, need not skip it
+   * again.
+   */
+  private removeExhausted(): void {
     for (const zone of this.zones.values()) {
       zone.occupied = zone.occupied.filter(hasFreeCapacity);
-      zone.open = zone.open.filter(hasFreeCapacity);
+      zone.unoccupied = zone.unoccupied.filter(hasFreeCapacity);
     }
   }
 
-  private zoneOf(name: string): ZoneCapacity {
+  private getOrCreateZone(name: string): ZoneCapacity {
     let zone = this.zones.get(name);
-    if (!zone) this.zones.set(name, (zone = { occupied: [], open: [] }));
+    if (!zone) this.zones.set(name, (zone = { occupied: [], unoccupied: [] }));
     return zone;
   }
 }
 
-/** What one demand has reserved so far. */
+/** The capacity that one demand has reserved so far. */
 export class Reservation {
-  /** Tasks for which nothing is reserved yet. */
-  remaining: number;
-  /** Tasks of the job per zone, with those that have a reservation. */
+  /** Number of tasks without a reservation. */
+  remainingTasks: number;
+  /** Number of tasks of the job by zone, including tasks that have a reservation. */
   readonly allocationsPerZone: Map<string, number>;
 
   constructor(readonly demand: CapacityDemand) {
-    this.remaining = demand.count;
+    this.remainingTasks = demand.taskCount;
     this.allocationsPerZone = new Map(demand.allocationsPerZone);
   }
 
-  /** Whether one more task may run in this place. */
-  allows(offering: InstanceOffering): boolean {
+  /** Whether one more task may run on an instance of this offering. */
+  allowsOffering(offering: InstanceOffering): boolean {
     const { spec } = this.demand;
     return satisfiesConstraints(spec, offering) && allowsZone(spec, this.allocationsPerZone, offering.zone);
   }
 
-  /** Whether one more task can use the capacity. What avoids spot instances does not count on those on their way. */
+  /**
+   * Whether one more task can use the capacity. A demand that avoids spot instances does not rely on spot instances
+   * that are not ready yet.
+   */
   canUse(capacity: IncomingCapacity): boolean {
     const { spec, avoidsSpot } = this.demand;
     if (!fits(spec, capacity.free)) return false;
-    if (avoidsSpot && capacity.spot && !capacity.occupied) return false;
-    return this.allows(capacity);
+    if (avoidsSpot && capacity.spot && !capacity.isOccupied) return false;
+    return this.allowsOffering(capacity);
   }
 
-  /** Reserves the capacity for as many tasks as it holds. */
+  /** Reserves the capacity for as many tasks as fit. */
   reserve(capacity: PooledCapacity): void {
     const { spec } = this.demand;
     const { free, zone } = capacity;
-    const count = Math.min(
-      this.remaining,
+    const taskCount = Math.min(
+      this.remainingTasks,
       tasksThatFit(spec, free),
       remainingZoneTasks(spec, this.allocationsPerZone, zone),
     );
-    if (count <= 0) return;
-    this.remaining -= count;
+    if (taskCount <= 0) return;
+    this.remainingTasks -= taskCount;
     capacity.isReserved = true;
-    free.cpus -= count * spec.cpus;
-    free.accelerators -= count * spec.accelerators;
-    free.memGb -= count * spec.memGb;
-    this.allocationsPerZone.set(zone, (this.allocationsPerZone.get(zone) ?? 0) + count);
+    free.cpus -= taskCount * spec.cpus;
+    free.accelerators -= taskCount * spec.accelerators;
+    free.memGb -= taskCount * spec.memGb;
+    this.allocationsPerZone.set(zone, (this.allocationsPerZone.get(zone) ?? 0) + taskCount);
   }
 }
 
-/** Seconds within which a running task must complete for the demand to wait for it. */
-function latestCompletionS(demand: CapacityDemand): number {
+/** Seconds within which a running task must complete so that the demand waits for its capacity. */
+function computeLatestCompletionS(demand: CapacityDemand): number {
   if (demand.spec.kind === 'service' || demand.waitedS > OCCUPIED_CAPACITY_WAIT_S) return -Infinity;
   return Math.min(demand.timeToStartObjectiveS, demand.timeToDeadlineS - demand.expectedRunTimeS);
 }
 
-const pooled = (capacity: IncomingCapacity): PooledCapacity => ({
+const toPooledCapacity = (capacity: IncomingCapacity): PooledCapacity => ({
   ...capacity,
   free: { ...capacity.free },
   isReserved: false,
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -1,5 +1,5 @@
 /**
- * The leader's calls to the cloud: launches and terminates instances, reads the catalog and the instance list, all
+ * Calls the cloud for the leader: launches and terminates instances, and reads the catalog and the instance list, all
  * within the cloud's request rate.
  */
 import type { Logger } from 'pino';
@@ -26,7 +26,7 @@
   decodeRefusalReason,
   encodeLaunch,
   encodeTermination,
-  instanceListTarget,
+  formatInstanceListTarget,
   LAUNCH_TARGET,
   TERMINATE_TARGET,
   type CloudInstance,
@@ -38,19 +38,25 @@
 export interface CloudRates {
   /** Requests per second. */
   readonly rps: number;
-  /** Share of them for reading the instance list. */
+  /** Share of these requests for reading the instance list. */
   readonly listShare: number;
 }
 
-/** The leader's rates: all that may be used, or what the role holders leave to it where they launch and terminate. */
-export function leaderCloudRates(rps: number, delegates: boolean): CloudRates {
-  const usable = rps * CLOUD_RATE_SHARE;
-  return delegates
-    ? { rps: usable * DELEGATED_CLOUD_SHARES.leader, listShare: DELEGATED_LIST_SHARE }
-    : { rps: usable, listShare: LIST_RATE_SHARE };
+/**
+ * The request rates of a leader. It uses the whole usable rate, or only its share of it if the holders of leased roles
+ * launch and terminate instances.
+ */
+export function leaderCloudRates(rps: number, hasRoleHolders: boolean): CloudRates {
+  const usableRps = rps * CLOUD_RATE_SHARE;
+  return hasRoleHolders
+    ? { rps: usableRps * DELEGATED_CLOUD_SHARES.leader, listShare: DELEGATED_LIST_SHARE }
+    : { rps: usableRps, listShare: LIST_RATE_SHARE };
 }
 
-/** What the cloud answered. `launchFailed`: it launched nothing, for want of capacity or by a fault. */
+/**
+ * A response of the cloud. `launchFailed` means that the cloud launched nothing, because it has no capacity or
+ * because of a fault.
+ */
 export type CloudEvent =
   | { readonly kind: 'catalog'; readonly types: InstanceType[] }
   | { readonly kind: 'listed'; readonly instances: readonly CloudInstance[]; readonly requestedMs: number }
@@ -59,14 +65,17 @@
   | { readonly kind: 'terminated'; readonly names: string[] };
 
 /** Dependencies of CloudClient. */
-export interface CloudClientOptions {
+export interface CloudClientDependencies {
   readonly caller: HttpCaller;
   /** Host and port of the cloud. */
   readonly address: string;
   readonly rates: CloudRates;
   readonly clock: Clock;
   readonly onEvent: (event: CloudEvent) => void;
-  /** Checked right before each call: after a pause another may lead, and what was decided before it is void. */
+  /**
+   * Whether calls are still allowed. This is checked right before each call, because after a pause of the process
+   * another controller may lead, and decisions from before the pause are void.
+   */
   readonly mayCall: () => boolean;
   readonly log: Logger;
   readonly onFailure: (error: unknown) => void;
@@ -75,19 +84,19 @@
 type Message =
   | { readonly kind: 'launch'; readonly request: LaunchRequest }
   | { readonly kind: 'terminate'; readonly names: readonly string[] }
-  /** Time for the next calls. */
+  /** The timer for the next calls has expired. */
   | { readonly kind: 'tick' }
   | { readonly kind: 'callCompleted'; readonly call: Call; readonly response: HttpResponse | undefined };
 
-/** A request for one page of the instance list, with the instances of the pages before it. */
+/** A request for one page of the instance list, with the instances of the previous pages. */
 interface ListCall {
   readonly kind: 'list';
-  /** Name of the last instance read so far; empty for the first page. */
+  /** Name of the last instance read so far. Empty for the first page. */
   readonly afterName: string;
   readonly instances: readonly CloudInstance[];
-  /** Steady ms at which the first page was requested. */
+  /** Steady time in milliseconds at which the first page was requested. */
   readonly requestedMs: number;
-  readonly pages: number;
+  readonly pageCount: number;
 }
 
 type Call =
@@ -96,26 +105,26 @@
   | ListCall
   | { readonly kind: 'catalog' };
 
-/** Calls the cloud within its request rate; terminations and launches go before reading the list. */
+/** Calls the cloud within its request rate. Terminations and launches come before a new reading of the list. */
 export class CloudClient extends Actor<Message> {
   private readonly rateLimiter: RateLimiter;
   private readonly pendingLaunches: LaunchRequest[] = [];
   private readonly pendingTerminations = new Set<string>();
   private isTerminating = false;
-  /** Steady ms. */
+  /** Steady time in milliseconds at which the instance list is to be read again. */
   private listDueMs = 0;
-  /** The next page of the list that is being read. */
+  /** The request for the next page of the list that is being read. */
   private nextPage: ListCall | undefined;
-  /** Steady ms. */
+  /** Steady time in milliseconds at which the catalog is to be read again. */
   private catalogDueMs = 0;
   private cancelTimer: (() => void) | undefined;
 
-  constructor(private readonly options: CloudClientOptions) {
-    super(options.log, options.onFailure);
-    this.rateLimiter = new RateLimiter(options.clock, options.rates.rps);
+  constructor(private readonly dependencies: CloudClientDependencies) {
+    super(dependencies.log, dependencies.onFailure);
+    this.rateLimiter = new RateLimiter(dependencies.clock, dependencies.rates.rps);
   }
 
-  /** Makes no further calls; the responses to those in flight are dropped. */
+  /** Stops making calls. The responses to calls in flight are dropped. */
   override stop(): void {
     super.stop();
     this.cancelTimer?.();
@@ -142,13 +151,13 @@
   }
 
   private makeDueCalls(): void {
-    const { clock, mayCall } = this.options;
+    const { clock, mayCall } = this.dependencies;
     this.cancelTimer?.();
     while (mayCall() && this.rateLimiter.waitMs(1) === 0) {
       const call = this.nextCall();
       if (!call) break;
       this.rateLimiter.consume(1);
-      this.begin(call);
+      this.startCall(call);
     }
     const waitMs = Math.max(this.rateLimiter.waitMs(1), STATE_RETRY_MS);
     this.cancelTimer = clock.after(waitMs, () => this.send({ kind: 'tick' }));
@@ -156,13 +165,13 @@
 
   /** The most urgent call that is due. */
   private nextCall(): Call | undefined {
-    const now = this.options.clock.steadyMs();
+    const nowMs = this.dependencies.clock.steadyMs();
     return (
       this.nextTermination() ??
-      this.nextCatalogCall(now) ??
+      this.nextCatalogCall(nowMs) ??
       this.nextListPage() ??
       this.nextLaunch() ??
-      this.nextListCall(now)
+      this.nextListCall(nowMs)
     );
   }
 
@@ -174,9 +183,9 @@
     return { kind: 'terminate', names };
   }
 
-  private nextCatalogCall(now: number): Call | undefined {
-    if (now < this.catalogDueMs) return undefined;
-    this.catalogDueMs = now + CATALOG_INTERVAL_MS;
+  private nextCatalogCall(nowMs: number): Call | undefined {
+    if (nowMs < this.catalogDueMs) return undefined;
+    this.catalogDueMs = nowMs + CATALOG_INTERVAL_MS;
     return { kind: 'catalog' };
   }
 
@@ -191,19 +200,19 @@
     return request && { kind: 'launch', request };
   }
 
-  private nextListCall(now: number): Call | undefined {
-    if (now < this.listDueMs) return undefined;
-    this.listDueMs = now + LIST_INTERVAL_MS;
-    return { kind: 'list', afterName: '', instances: [], requestedMs: now, pages: 1 };
+  private nextListCall(nowMs: number): Call | undefined {
+    if (nowMs < this.listDueMs) return undefined;
+    this.listDueMs = nowMs + LIST_INTERVAL_MS;
+    return { kind: 'list', afterName: '', instances: [], requestedMs: nowMs, pageCount: 1 };
   }
 
-  private begin(call: Call): void {
+  private startCall(call: Call): void {
     const complete = (response: HttpResponse | undefined): void =>
       this.send({ kind: 'callCompleted', call, response });
-    this.request(call).then(complete, () => complete(undefined));
+    this.sendRequest(call).then(complete, () => complete(undefined));
   }
 
-  private request(call: Call): Promise<HttpResponse> {
+  private sendRequest(call: Call): Promise<HttpResponse> {
     switch (call.kind) {
       case 'launch':
         return this.post(LAUNCH_TARGET, encodeLaunch(call.request));
@@ -212,21 +221,21 @@
       case 'catalog':
         return this.get(CATALOG_TARGET);
       case 'list':
-        return this.get(instanceListTarget(call.afterName));
+        return this.get(formatInstanceListTarget(call.afterName));
     }
   }
 
   private get(target: string): Promise<HttpResponse> {
-    const { caller, address } = this.options;
+    const { caller, address } = this.dependencies;
     return caller.call(address, 'GET', target, undefined, CLOUD_CALL_TIMEOUT_MS);
   }
 
   private post(target: string, body: unknown): Promise<HttpResponse> {
-    const { caller, address } = this.options;
+    const { caller, address } = this.dependencies;
     return caller.call(address, 'POST', target, formatJson(body), CLOUD_CALL_TIMEOUT_MS);
   }
 
-  /** `response` is undefined where the cloud did not answer. */
+  /** Handles the end of a call. `response` is undefined if the cloud did not respond. */
   private handleResponse(call: Call, response: HttpResponse | undefined): void {
     switch (call.kind) {
       case 'launch':
@@ -241,39 +250,39 @@
   }
 
   private handleLaunchResponse(request: LaunchRequest, response: HttpResponse | undefined): void {
-    const { onEvent } = this.options;
+    const { onEvent } = this.dependencies;
     if (response?.status === 200)
       onEvent({ kind: 'launched', request, names: decodeLaunched(response.body) });
     else if (response?.status === 503 || response?.status === 400)
       onEvent({ kind: 'launchFailed', request, reason: decodeRefusalReason(response.body) });
-    // Without an answer it may have been, or may yet be, carried out: only the same request may be repeated.
+    // Without a response the launch may have been carried out, or may still be. Only the same request may be repeated.
     else this.pendingLaunches.push(request);
   }
 
   private handleTerminationResponse(names: string[], response: HttpResponse | undefined): void {
     this.isTerminating = false;
-    if (response?.status === 200) this.options.onEvent({ kind: 'terminated', names });
+    if (response?.status === 200) this.dependencies.onEvent({ kind: 'terminated', names });
     else this.requestTermination(names);
   }
 
   private handleCatalogResponse(response: HttpResponse | undefined): void {
-    const { clock, onEvent } = this.options;
+    const { clock, onEvent } = this.dependencies;
     if (response?.status === 200) onEvent({ kind: 'catalog', types: decodeCatalog(response.body) });
     else this.catalogDueMs = clock.steadyMs() + LIST_INTERVAL_MS / 2;
   }
 
-  private handleListPage(call: ListCall, text: string): void {
-    const { rates, onEvent } = this.options;
-    const page = decodeInstanceList(text);
+  private handleListPage(call: ListCall, body: string): void {
+    const { rates, onEvent } = this.dependencies;
+    const page = decodeInstanceList(body);
     const instances = [...call.instances, ...page.instances];
-    const last = page.instances.at(-1);
-    if (page.more && last) {
-      this.nextPage = { ...call, afterName: last.name, instances, pages: call.pages + 1 };
+    const lastInstance = page.instances.at(-1);
+    if (page.hasMore && lastInstance) {
+      this.nextPage = { ...call, afterName: lastInstance.name, instances, pageCount: call.pageCount + 1 };
       return;
     }
-    // The list of a large fleet takes many requests, and most of the rate is for launching and terminating.
-    const neededMs = (call.pages * 1000) / (rates.rps * rates.listShare);
-    this.listDueMs = Math.max(this.listDueMs, call.requestedMs + neededMs);
+    // The list of a large fleet takes many requests, but most of the rate is reserved for launches and terminations.
+    const minIntervalMs = (call.pageCount * 1000) / (rates.rps * rates.listShare);
+    this.listDueMs = Math.max(this.listDueMs, call.requestedMs + minIntervalMs);
     onEvent({ kind: 'listed', instances, requestedMs: call.requestedMs });
   }
 }
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -1,6 +1,6 @@
 /**
- * The cloud provider's wire format: the only module that knows its paths and field names. All other code works with
- * the types declared here.
+ * Encodes and decodes the cloud provider's wire format. This is the only module that knows its paths and field names.
+ * All other code works with the types declared here.
  */
 import type { InstanceOffering, LaunchRefusalReason, LaunchRequest } from '@pumicehinge/duties';
 import { LIST_PAGE } from '../constants.js';
@@ -13,7 +13,7 @@
 /** An instance as the cloud lists it. */
 export interface CloudInstance {
   readonly name: string;
-  /** Address of its worker; empty while the instance boots. */
+  /** Address of the instance's worker. Empty while the instance boots. */
   readonly address: string;
   readonly type: string;
   readonly zone: string;
@@ -27,10 +27,10 @@
 export interface InstancePage {
   readonly instances: CloudInstance[];
   /** Whether another page follows. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
 }
 
-/** The cloud answered a request with a body that is not of the expected form. */
+/** Thrown if the cloud responds with a body that does not have the expected form. */
 export class MalformedCloudResponseError extends Error {
   override readonly name = 'MalformedCloudResponseError';
 
@@ -50,47 +50,56 @@
 /** Request target that reads the catalog (GET). */
 export const CATALOG_TARGET = '/catalog';
 
-/** Request target of a page of the instance list (GET): the instances after `afterName`, or the first ones if empty. */
-export function instanceListTarget(afterName: string): string {
-  const since = afterName === '' ? '' : `since=${afterName}&`;
-  return `/hosts?${since}page=${LIST_PAGE}`;
+/**
+ * Request target that reads a page of the instance list (GET). The page starts after the instance `afterName`, or with
+ * the first instance if the name is empty.
+ */
+export function formatInstanceListTarget(afterName: string): string {
+  const sinceParameter = afterName === '' ? '' : `since=${afterName}&`;
+  return `/hosts?${sinceParameter}page=${LIST_PAGE}`;
 }
 
-/** Identifies an offering in maps and logs. */
+/** The key that identifies an offering in maps and logs. */
 export const offeringKey = (offering: InstanceOffering): string =>
   `${offering.type}/${offering.zone}/${offering.spot ? 'spot' : 'ordinary'}`;
 
-/** Reads the catalog. Throws {@link MalformedCloudResponseError}. */
+/** Decodes the catalog. Throws {@link MalformedCloudResponseError}. */
 export function decodeCatalog(text: string): InstanceType[] {
   const list = parseObject(text).builds;
   if (!Array.isArray(list)) throw new MalformedCloudResponseError('a catalog');
   return list.filter(isObject).map(decodeInstanceType);
 }
 
-/** Reads a page of the instance list; a body without a list is an empty page. Throws {@link MalformedCloudResponseError}. */
+/**
+ * Decodes a page of the instance list. A body without a list counts as an empty page. Throws
+ * {@link MalformedCloudResponseError}.
+ */
 export function decodeInstanceList(text: string): InstancePage {
   const body = parseObject(text);
   const list = Array.isArray(body.hearths) ? body.hearths : [];
-  return { instances: list.filter(isObject).map(decodeInstance), more: body.more === true };
+  return { instances: list.filter(isObject).map(decodeInstance), hasMore: body.more === true };
 }
 
-/** Reads the names of launched instances; none if the body has no list. Throws {@link MalformedCloudResponseError}. */
+/**
+ * Decodes the names of launched instances. The result is empty if the body has no list. Throws
+ * {@link MalformedCloudResponseError}.
+ */
 export function decodeLaunched(text: string): string[] {
   const list = parseObject(text).hearths;
   return Array.isArray(list) ? list.map(String) : [];
 }
 
-/** Reads why a launch was refused. Never throws: a body of any other form counts as a fault of the cloud. */
+/** Decodes why a launch was refused. It never throws, because any unknown body counts as a fault of the cloud. */
 export function decodeRefusalReason(text: string): LaunchRefusalReason {
   return text.includes('no capacity') ? 'no capacity' : 'trouble';
 }
 
-/** The body of a launch request; repeating it under the same name launches nothing twice. */
+/** Encodes the body of a launch request. Repeating a request under the same name launches nothing twice. */
 export function encodeLaunch({ name, offering, count }: LaunchRequest): unknown {
   return { ask: name, build: offering.type, yard: offering.zone, loaner: offering.spot, howMany: count };
 }
 
-/** The body of a request that terminates instances. */
+/** Encodes the body of a request that terminates instances. */
 export function encodeTermination(names: readonly string[]): unknown {
   return { hearths: names };
 }
--- a/src/autoscaler/headroom.ts
+++ b/src/autoscaler/headroom.ts
@@ -1,4 +1,4 @@
-/** Headroom: capacity kept ready for jobs that are expected and must start sooner than a node boots. */
+/** Plans headroom, which is capacity kept ready for expected jobs that must start sooner than a new node boots. */
 import {
   HEADROOM_MAX_JOBS,
   HEADROOM_MARGIN,
@@ -9,28 +9,28 @@
 import type { JobSpec } from '../state/records.js';
 import type { InstanceType } from './cloud-codec.js';
 
-/** A service-level objective of the settings: tasks of a job class start within so many seconds. */
+/** A service-level objective from the settings: tasks of the job class start within `withinS` seconds. */
 export interface StartObjective {
   readonly jobClass: string;
   readonly withinS: number;
 }
 
-/** A job from which arrivals are estimated. */
+/** A job from which the arrival of further jobs is estimated. */
 export interface RecentJob {
   readonly spec: JobSpec;
-  /** Wall ms at which a controller accepted it. */
+  /** Wall-clock time in milliseconds at which a controller accepted the job. */
   readonly acceptedMs: number;
 }
 
-/** Capacity to be kept ready: as if so many tasks like this one were waiting. */
+/** Capacity to keep ready. It must be enough to start `taskCount` tasks that are specified by `spec`. */
 export interface HeadroomDemand {
   readonly spec: JobSpec;
-  readonly count: number;
+  readonly taskCount: number;
 }
 
 /**
- * The headroom for the job classes with a start objective. It is not idle meanwhile: tasks run there that may be
- * preempted at once.
+ * Plans the headroom for the job classes with a start objective. Headroom is not idle: tasks that may be preempted at
+ * once run on it.
  */
 export function planHeadroom(
   objectives: readonly StartObjective[],
@@ -41,42 +41,49 @@
   const demands: HeadroomDemand[] = [];
   for (const { jobClass, withinS } of objectives) {
     const services = recentJobs.filter(({ spec }) => spec.jobClass === jobClass && spec.kind === 'service');
-    const newest = newestOf(services);
+    const newest = findNewest(services);
     if (!newest) continue;
-    const startS = soonestStartS(newest.spec, instanceTypes);
-    if (startS === undefined || startS <= withinS) continue;
-    const count = headroomTasks(services, startS, wallMs);
-    demands.push({ spec: { ...newest.spec, tasks: count }, count });
+    const startTimeS = computeShortestStartTimeS(newest.spec, instanceTypes);
+    if (startTimeS === undefined || startTimeS <= withinS) continue;
+    const taskCount = countHeadroomTasks(services, startTimeS, wallMs);
+    demands.push({ spec: { ...newest.spec, tasks: taskCount }, taskCount });
   }
   return demands;
 }
 
-/** The newest job; of several equally new ones the last. */
-function newestOf(jobs: readonly RecentJob[]): RecentJob | undefined {
+/** The most recently accepted job. If several were accepted at the same time, it is the last of them in the list. */
+function findNewest(jobs: readonly RecentJob[]): RecentJob | undefined {
   return jobs.reduce<RecentJob | undefined>(
     (newest, job) => (newest && newest.acceptedMs > job.acceptedMs ? newest : job),
     undefined,
   );
 }
 
-/** Seconds from the launch of an instance to the start of a task on it; undefined if the task fits no instance type. */
-function soonestStartS(spec: JobSpec, instanceTypes: readonly InstanceType[]): number | undefined {
-  const fitting = instanceTypes.filter((type) => tasksThatFit(spec, type) > 0);
-  if (fitting.length === 0) return undefined;
-  return Math.min(...fitting.map((type) => type.bootS)) + NODE_START_OVERHEAD_S;
+/**
+ * The shortest time in seconds from the launch of an instance to the start of a task on it. Undefined if the task
+ * fits no instance type.
+ */
+function computeShortestStartTimeS(
+  spec: JobSpec,
+  instanceTypes: readonly InstanceType[],
+): number | undefined {
+  const fittingTypes = instanceTypes.filter((type) => tasksThatFit(spec, type) > 0);
+  if (fittingTypes.length === 0) return undefined;
+  return Math.min(...fittingTypes.map((type) => type.bootS)) + NODE_START_OVERHEAD_S;
 }
 
 /**
- * As many tasks as are expected to arrive while an instance that replaces the headroom starts, and at least those of one
- * average job. It is bounded by a few jobs, as the first wave of arrivals does not come again.
+ * The number of tasks that are expected to arrive while an instance that replaces used headroom starts, but at least
+ * the tasks of one average job. It is limited to a few average jobs, because a first wave of arrivals does not
+ * repeat.
  */
-function headroomTasks(jobs: readonly RecentJob[], startS: number, wallMs: number): number {
-  const meanTasks = totalTasks(jobs) / jobs.length;
-  const arrivedTasks = totalTasks(jobs.filter(({ acceptedMs }) => wallMs - acceptedMs < HEADROOM_WINDOW_MS));
-  const expectedTasks = ((arrivedTasks * startS * 1000) / HEADROOM_WINDOW_MS) * HEADROOM_MARGIN;
-  return Math.ceil(Math.min(Math.max(expectedTasks, meanTasks), meanTasks * HEADROOM_MAX_JOBS));
+function countHeadroomTasks(jobs: readonly RecentJob[], startTimeS: number, wallMs: number): number {
+  const meanTasksPerJob = countTasks(jobs) / jobs.length;
+  const recentTasks = countTasks(jobs.filter(({ acceptedMs }) => wallMs - acceptedMs < HEADROOM_WINDOW_MS));
+  const expectedTasks = ((recentTasks * startTimeS * 1000) / HEADROOM_WINDOW_MS) * HEADROOM_MARGIN;
+  return Math.ceil(Math.min(Math.max(expectedTasks, meanTasksPerJob), meanTasksPerJob * HEADROOM_MAX_JOBS));
 }
 
-function totalTasks(jobs: readonly RecentJob[]): number {
+function countTasks(jobs: readonly RecentJob[]): number {
   return jobs.reduce((total, { spec }) => total + spec.tasks, 0);
 }
--- a/src/autoscaler/offering-backoff.ts
+++ b/src/autoscaler/offering-backoff.ts
@@ -1,24 +1,27 @@
-/** Which offerings are not worth requesting for now. */
+/** Tracks which offerings should not be requested for now. */
 import { OFFERING_FAULT_RETRY_MS, OFFERING_UNAVAILABLE_MS } from '../constants.js';
 import type { LaunchRefusalReason } from '@pumicehinge/duties';
 import { offeringKey, type InstanceOffering } from './cloud-codec.js';
 
-/** Holds back requests for offerings that the cloud refused lately, and for all spot offerings if they are not to be used. */
+/**
+ * Holds back requests for offerings that the cloud refused recently, and for all spot offerings if spot instances are
+ * disabled.
+ */
 export class OfferingBackoff {
-  /** Steady ms until which each offering is unavailable, by its key. */
+  /** Steady time in milliseconds until which each offering is unavailable, by offering key. */
   private readonly unavailableUntilMs = new Map<string, number>();
 
-  constructor(private readonly useSpot: boolean) {}
+  constructor(private readonly isSpotEnabled: boolean) {}
 
-  /** The cloud launched nothing, or less than was requested. */
-  recordRefusal(offering: InstanceOffering, reason: LaunchRefusalReason, now: number): void {
+  /** Records that the cloud launched nothing, or fewer instances than were requested. */
+  recordRefusal(offering: InstanceOffering, reason: LaunchRefusalReason, nowMs: number): void {
     const backoffMs = reason === 'no capacity' ? OFFERING_UNAVAILABLE_MS : OFFERING_FAULT_RETRY_MS;
-    this.unavailableUntilMs.set(offeringKey(offering), now + backoffMs);
+    this.unavailableUntilMs.set(offeringKey(offering), nowMs + backoffMs);
   }
 
   /** Whether the offering must not be requested now. */
-  isUnavailable(offering: InstanceOffering, now: number): boolean {
-    if (offering.spot && !this.useSpot) return true;
-    return (this.unavailableUntilMs.get(offeringKey(offering)) ?? -Infinity) > now;
+  isUnavailable(offering: InstanceOffering, nowMs: number): boolean {
+    if (offering.spot && !this.isSpotEnabled) return true;
+    return (this.unavailableUntilMs.get(offeringKey(offering)) ?? -Infinity) > nowMs;
   }
 }
--- a/src/autoscaler/scale-out-planner.ts
+++ b/src/autoscaler/scale-out-planner.ts
@@ -13,105 +13,109 @@
   readonly count: number;
 }
 
-/** What the cloud offers. */
+/** The instance types of the cloud, and which of their offerings are available. */
 export interface OfferingAvailability {
   readonly instanceTypes: readonly InstanceType[];
   /** Whether the offering must not be requested now. */
   readonly isUnavailable: (offering: InstanceOffering) => boolean;
 }
 
-/** What a plan is made from. */
+/** The input of the planner. */
 export interface ScaleOutInput {
   /** Waiting tasks, in the order in which their jobs are scheduled. */
   readonly demands: readonly CapacityDemand[];
-  /** Capacity on its way. */
-  readonly incoming: readonly IncomingCapacity[];
+  /** Capacity that becomes available later without a new launch. */
+  readonly incomingCapacity: readonly IncomingCapacity[];
   readonly availability: OfferingAvailability;
-  /** Headroom that is wanted, as if its tasks were waiting. */
+  /** The demands for headroom, as if its tasks were waiting. */
   readonly headroomDemands?: readonly CapacityDemand[];
-  /** Capacity that can be had at once; only headroom counts on it, as the waiting tasks found none. */
-  readonly immediate?: readonly IncomingCapacity[];
+  /** Capacity that can be used at once. Only headroom relies on it, because the waiting tasks found none. */
+  readonly immediateCapacity?: readonly IncomingCapacity[];
 }
 
-/** What to launch, and the nodes to keep. */
+/** The instances to launch, and the nodes to keep. */
 export interface ScaleOutResult {
   readonly plans: readonly ScaleOutPlan[];
-  /** Nodes that must not be terminated, as headroom counts on them. */
+  /** Nodes that must not be terminated because headroom relies on them. */
   readonly headroomNodes: ReadonlySet<Node>;
 }
 
 /**
- * Plans the launches. What is already coming is counted first; for the rest, the offering is chosen that is cheapest per
- * task and ready in time, or the soonest one when none is. Headroom comes last.
+ * Plans the launches. Demands first use the incoming capacity. For the remaining tasks, the planner chooses the
+ * offering that is cheapest per task and ready in time. If none is ready in time, the price is weighed against the
+ * delay. Headroom comes last.
  */
 export function planScaleOut(input: ScaleOutInput): ScaleOutResult {
-  const { demands, incoming, availability, headroomDemands = [], immediate = [] } = input;
-  const launches = new PlannedLaunches(availability);
-  const pool = new CapacityPool(incoming);
-  for (const demand of demands) serve(demand, pool, launches);
-  const headroomPool = new CapacityPool([...immediate, ...pool.unoccupiedCapacity]);
-  for (const demand of headroomDemands) serve(demand, headroomPool, launches);
-  return { plans: launches.plans, headroomNodes: headroomPool.reservedNodes() };
+  const { demands, incomingCapacity, availability, headroomDemands = [], immediateCapacity = [] } = input;
+  const plannedLaunches = new PlannedLaunches(availability);
+  const pool = new CapacityPool(incomingCapacity);
+  for (const demand of demands) satisfyDemand(demand, pool, plannedLaunches);
+  const headroomPool = new CapacityPool([...immediateCapacity, ...pool.unoccupiedCapacity]);
+  for (const demand of headroomDemands) satisfyDemand(demand, headroomPool, plannedLaunches);
+  return { plans: plannedLaunches.plans, headroomNodes: headroomPool.reservedNodes() };
 }
 
-/** Reserves capacity for all tasks of the demand, launching instances for what the pool lacks. */
-function serve(demand: CapacityDemand, pool: CapacityPool, launches: PlannedLaunches): void {
+/** Reserves capacity for all tasks of the demand, and plans launches for the capacity that the pool lacks. */
+function satisfyDemand(demand: CapacityDemand, pool: CapacityPool, plannedLaunches: PlannedLaunches): void {
   const reservation = new Reservation(demand);
   pool.reserveFor(reservation);
-  while (reservation.remaining > 0) {
-    const launched = launches.add(reservation);
-    if (!launched) return;
-    reservation.reserve(pool.add(launched));
+  while (reservation.remainingTasks > 0) {
+    const plannedInstance = plannedLaunches.addInstance(reservation);
+    if (!plannedInstance) return;
+    reservation.reserve(pool.add(plannedInstance));
   }
 }
 
-/** An offering with the instance type that it is of. */
+/** An offering and its instance type. */
 interface OfferedType {
   readonly offering: InstanceOffering;
   readonly type: InstanceType;
 }
 
-/** The instances that are to be launched. */
+/** The instances to launch. */
 class PlannedLaunches {
-  private readonly byOffering = new Map<string, { readonly offering: InstanceOffering; count: number }>();
+  private readonly plansByOffering = new Map<
+    string,
+    { readonly offering: InstanceOffering; count: number }
+  >();
 
   constructor(private readonly availability: OfferingAvailability) {}
 
-  /** One entry for each offering, in the order in which they were first chosen. */
+  /** One plan for each offering, in the order in which the offerings were first chosen. */
   get plans(): ScaleOutPlan[] {
-    return [...this.byOffering.values()];
+    return [...this.plansByOffering.values()];
   }
 
-  /** Plans one more instance for the demand; undefined if no offering serves it. */
-  add(reservation: Reservation): IncomingCapacity | undefined {
-    const best = this.bestOffering(reservation);
+  /** Plans one more instance for the demand and returns its capacity. Undefined if no offering suits the demand. */
+  addInstance(reservation: Reservation): IncomingCapacity | undefined {
+    const best = this.findBestOffering(reservation);
     if (!best) return undefined;
     const { offering, type } = best;
-    this.count(offering);
+    this.incrementCount(offering);
     return {
       ...offering,
       free: { cpus: type.cpus, accelerators: type.accelerators, memGb: type.memGb },
-      readyS: type.bootS + NODE_START_OVERHEAD_S,
-      occupied: false,
+      readyInS: type.bootS + NODE_START_OVERHEAD_S,
+      isOccupied: false,
     };
   }
 
-  private count(offering: InstanceOffering): void {
+  private incrementCount(offering: InstanceOffering): void {
     const key = offeringKey(offering);
-    const plan = this.byOffering.get(key) ?? { offering, count: 0 };
+    const plan = this.plansByOffering.get(key) ?? { offering, count: 0 };
     plan.count++;
-    this.byOffering.set(key, plan);
+    this.plansByOffering.set(key, plan);
   }
 
-  private bestOffering(reservation: Reservation): OfferedType | undefined {
+  private findBestOffering(reservation: Reservation): OfferedType | undefined {
     let best: OfferedType | undefined;
     let bestScore = Infinity;
     for (const type of this.availability.instanceTypes) {
       const tasksPerInstance = tasksThatFit(reservation.demand.spec, type);
       if (tasksPerInstance === 0) continue;
-      const usedTasks = Math.min(tasksPerInstance, reservation.remaining);
-      for (const offering of this.usableOfferings(type, reservation)) {
-        const score = scoreOffering(reservation.demand, type, offering.spot, usedTasks);
+      const taskCount = Math.min(tasksPerInstance, reservation.remainingTasks);
+      for (const offering of this.findUsableOfferings(type, reservation)) {
+        const score = scoreOffering(reservation.demand, type, offering.spot, taskCount);
         if (best && !(score < bestScore)) continue;
         best = { offering, type };
         bestScore = score;
@@ -120,27 +124,30 @@
     return best;
   }
 
-  private *usableOfferings(type: InstanceType, reservation: Reservation): Iterable<InstanceOffering> {
+  private *findUsableOfferings(type: InstanceType, reservation: Reservation): Iterable<InstanceOffering> {
     for (const zone of type.zones) {
       for (const spot of [true, false]) {
         const offering = { type: type.name, zone, spot };
         if (!spot && !reservation.demand.mayUseOnDemand) continue;
-        if (!reservation.allows(offering) || this.availability.isUnavailable(offering)) continue;
+        if (!reservation.allowsOffering(offering) || this.availability.isUnavailable(offering)) continue;
         yield offering;
       }
     }
   }
 }
 
-/** Lower is better: the price per task that uses the instance, times one and the seconds by which the task would be late. */
-function scoreOffering(demand: CapacityDemand, type: InstanceType, spot: boolean, usedTasks: number): number {
-  const completedS = type.bootS + NODE_START_OVERHEAD_S + demand.expectedRunTimeS;
-  const lateS = Math.max(0, completedS - demand.timeToDeadlineS);
-  return (effectivePrice(demand, type, spot) / usedTasks) * (1 + lateS);
+/**
+ * The score of an offering; lower is better. It is the price per task that would use the instance, multiplied by one
+ * plus the seconds by which the task would miss its deadline.
+ */
+function scoreOffering(demand: CapacityDemand, type: InstanceType, spot: boolean, taskCount: number): number {
+  const completionS = type.bootS + NODE_START_OVERHEAD_S + demand.expectedRunTimeS;
+  const delayS = Math.max(0, completionS - demand.timeToDeadlineS);
+  return (computeEffectivePrice(demand, type, spot) / taskCount) * (1 + delayS);
 }
 
-/** What avoids spot instances uses them only where there are no others. */
-function effectivePrice(demand: CapacityDemand, type: InstanceType, spot: boolean): number {
+/** The price that scores an offering. A demand that avoids spot instances uses them only if there are no others. */
+function computeEffectivePrice(demand: CapacityDemand, type: InstanceType, spot: boolean): number {
   if (!spot) return type.price;
   return demand.avoidsSpot ? type.price * AVOIDED_SPOT_PRICE_RATIO : type.spotPrice;
 }
--- a/src/autoscaler/spot-interruption-rate.ts
+++ b/src/autoscaler/spot-interruption-rate.ts
@@ -1,4 +1,4 @@
-/** How often the cloud interrupts spot instances. */
+/** Estimates how often the cloud interrupts spot instances. */
 import {
   MS_PER_HOUR,
   SPOT_BURST_FACTOR,
@@ -10,53 +10,53 @@
 import { isObject } from '../wire/json.js';
 
 /**
- * The rate of interruptions per hour of use, as observed by this leader and those before it. It starts from a prior
- * expectation, which weighs as much as a short time of use. All times are in steady ms.
+ * The rate of interruptions per hour of use, as observed by this leader and the leaders before it. The estimate starts
+ * from a prior, which weighs as much as a short time of use. All times are steady times in milliseconds.
  */
 export class SpotInterruptionRate {
   private interruptions = 0;
   private hoursOfUse = 0;
-  private countedMs: number;
+  private lastUsageMs: number;
   private nodesInUse = 0;
   private burstStartMs = -Infinity;
   private burstInterruptions = 0;
 
-  /** Continues from the record of the leader before, if `stored` is one. */
-  constructor(stored: unknown, nowMs: number) {
-    this.countedMs = nowMs;
-    if (!isObject(stored)) return;
-    this.interruptions = Number(stored.lost) || 0;
-    this.hoursOfUse = Number(stored.hours) || 0;
+  /** Continues from the record of the previous leader, if `storedRecord` is one. */
+  constructor(storedRecord: unknown, nowMs: number) {
+    this.lastUsageMs = nowMs;
+    if (!isObject(storedRecord)) return;
+    this.interruptions = Number(storedRecord.lost) || 0;
+    this.hoursOfUse = Number(storedRecord.hours) || 0;
   }
 
-  /** So many spot nodes were in use since the last call. */
-  recordUsage(nodes: number, nowMs: number): void {
-    this.hoursOfUse += (nodes * (nowMs - this.countedMs)) / MS_PER_HOUR;
-    this.countedMs = nowMs;
-    this.nodesInUse = nodes;
+  /** Records that `nodeCount` spot nodes were in use since the last call. */
+  recordUsage(nodeCount: number, nowMs: number): void {
+    this.hoursOfUse += (nodeCount * (nowMs - this.lastUsageMs)) / MS_PER_HOUR;
+    this.lastUsageMs = nowMs;
+    this.nodesInUse = nodeCount;
   }
 
   /**
-   * A spot node was interrupted. Of interruptions that come together only some are counted: a wave, or a partition that
-   * looks like one, says little about what is to come.
+   * Records that a spot node was interrupted. If many interruptions occur together, only some of them are counted,
+   * because such a burst, or a partition that looks like one, says little about future interruptions.
    */
   recordInterruption(nowMs: number): void {
     if (nowMs - this.burstStartMs > SPOT_BURST_MS) {
       this.burstStartMs = nowMs;
       this.burstInterruptions = 0;
     }
-    const expected = (this.nodesInUse * this.perHour() * SPOT_BURST_MS) / MS_PER_HOUR;
-    const counted = Math.max(SPOT_BURST_MIN_COUNTED, expected * SPOT_BURST_FACTOR);
-    if (++this.burstInterruptions <= counted) this.interruptions++;
+    const expectedInterruptions = (this.nodesInUse * this.perHour() * SPOT_BURST_MS) / MS_PER_HOUR;
+    const maxCounted = Math.max(SPOT_BURST_MIN_COUNTED, expectedInterruptions * SPOT_BURST_FACTOR);
+    if (++this.burstInterruptions <= maxCounted) this.interruptions++;
   }
 
   /** Interruptions per hour of use of one node. */
   perHour(): number {
-    const expected = SPOT_PRIOR_INTERRUPTIONS_PER_HOUR * SPOT_PRIOR_HOURS;
-    return (this.interruptions + expected) / (this.hoursOfUse + SPOT_PRIOR_HOURS);
+    const priorInterruptions = SPOT_PRIOR_INTERRUPTIONS_PER_HOUR * SPOT_PRIOR_HOURS;
+    return (this.interruptions + priorInterruptions) / (this.hoursOfUse + SPOT_PRIOR_HOURS);
   }
 
-  /** The stored form, from which the next leader continues. */
+  /** The record to store, from which the next leader continues. */
   toRecord(): unknown {
     return { lost: this.interruptions, hours: Math.round(this.hoursOfUse * 1000) / 1000 };
   }
--- a/src/autoscaler/spot-policy.ts
+++ b/src/autoscaler/spot-policy.ts
@@ -1,4 +1,4 @@
-/** Whether a waiting job uses spot instances. */
+/** Decides whether a waiting job uses spot instances. */
 import type { Job } from '../cluster/cluster-state.js';
 import { MAX_SPOT_INTERRUPTIONS_PER_HOUR } from '../constants.js';
 import { tasksThatFit } from '../scheduler/placement-constraints.js';
@@ -12,39 +12,46 @@
   /** Instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, InstanceType>;
   readonly offeringBackoff: OfferingBackoff;
-  readonly spotInterruptions: SpotInterruptionRate;
+  readonly spotInterruptionRate: SpotInterruptionRate;
   readonly wallMs: () => number;
 }
 
-/** Lets jobs prefer, avoid or fall back from spot instances. */
+/** Decides whether waiting jobs prefer or avoid spot instances, and whether they fall back to on-demand instances. */
 export class SpotPolicy {
-  constructor(private readonly deps: SpotPolicyDependencies) {}
+  constructor(private readonly dependencies: SpotPolicyDependencies) {}
 
   /**
-   * Decides anew for a job that waits. Its preference for spot instances fails when none can be had, or when interruptions
-   * must be expected that would make it late.
+   * Updates the decision for a waiting job. A job that prefers spot instances falls back to on-demand instances if no
+   * spot instance is available, or if the interruptions to be expected would make the job late.
    */
-  apply(job: Job, now: number): void {
+  updateSpotPreference(job: Job, nowMs: number): void {
     if (!job.isOpen) return;
     job.submitExecutableMembers();
     job.setAvoidsSpot(job.spec.spot && this.isInterruptionCostly(job));
-    if (job.prefersSpot && (job.avoidsSpot || !this.isSpotAvailable(job, now))) job.fallBackFromSpot();
+    if (job.prefersSpot && (job.avoidsSpot || !this.isSpotAvailable(job, nowMs))) job.fallBackFromSpot();
   }
 
-  /** Whether spot instances are interrupted too often for a job with a deadline, of which all tasks must complete. */
+  /**
+   * Whether the job has a deadline and spot instances are interrupted too often for it. All tasks of the job must
+   * complete by its deadline.
+   */
   private isInterruptionCostly(job: Job): boolean {
     return (
-      timeToDeadlineS(job, this.deps.wallMs()) < Infinity &&
-      this.deps.spotInterruptions.perHour() > MAX_SPOT_INTERRUPTIONS_PER_HOUR
+      timeToDeadlineS(job, this.dependencies.wallMs()) < Infinity &&
+      this.dependencies.spotInterruptionRate.perHour() > MAX_SPOT_INTERRUPTIONS_PER_HOUR
     );
   }
 
-  /** On-demand instances of the same type boot no sooner, so any spot offering that can be had is good enough. */
-  private isSpotAvailable(job: Job, now: number): boolean {
-    for (const type of this.deps.instanceTypes().values()) {
+  /**
+   * Whether any spot offering that fits the job is available. On-demand instances of the same type boot no sooner, so
+   * any such offering is good enough.
+   */
+  private isSpotAvailable(job: Job, nowMs: number): boolean {
+    for (const type of this.dependencies.instanceTypes().values()) {
       if (tasksThatFit(job.spec, type) === 0) continue;
       for (const zone of type.zones)
-        if (!this.deps.offeringBackoff.isUnavailable({ type: type.name, zone, spot: true }, now)) return true;
+        if (!this.dependencies.offeringBackoff.isUnavailable({ type: type.name, zone, spot: true }, nowMs))
+          return true;
     }
     return false;
   }
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -1,4 +1,7 @@
-/** The wire between workers and controllers: translates its words to the terms of the code; no other module knows them. */
+/**
+ * Encodes and decodes the messages between workers and controllers. This is the only module that knows the field names
+ * and values of this wire format.
+ */
 import { assertNever } from '@pumicehinge/runtime';
 import type {
   ExitCause,
@@ -27,16 +30,16 @@
 
 function decodeTaskStatus(value: unknown): TaskStatus | undefined {
   if (!isObject(value) || typeof value.piece !== 'string' || !isWireInt(value.try)) return undefined;
-  const slash = value.piece.lastIndexOf('/');
-  const index = Number(value.piece.slice(slash + 1));
-  if (slash <= 0 || !Number.isSafeInteger(index) || index < 0) return undefined;
+  const slashIndex = value.piece.lastIndexOf('/');
+  const index = Number(value.piece.slice(slashIndex + 1));
+  if (slashIndex <= 0 || !Number.isSafeInteger(index) || index < 0) return undefined;
   if (typeof value.phase !== 'string') return undefined;
   return {
-    job: value.piece.slice(0, slash),
+    job: value.piece.slice(0, slashIndex),
     index,
     attempt: value.try,
-    // An unknown state is taken for that of a task which is on the node and does not run yet: if the whole heartbeat
-    // were refused for it, every task of the node would die with the worker's lease.
+    // An unknown state counts as that of a task which is on the node but does not run yet. If the whole heartbeat were
+    // rejected instead, the worker's lease would expire, and every task of the node would end.
     state: TASK_STATES.get(value.phase) ?? 'fetching',
     cause: typeof value.cause === 'string' ? (EXIT_CAUSES.get(value.cause) ?? 'unknown') : undefined,
   };
@@ -52,7 +55,7 @@
   return tasks;
 }
 
-/** Decodes the parsed body of a heartbeat; undefined when a field is missing or has a wrong type. */
+/** Decodes the parsed body of a heartbeat. Undefined if a field is missing or has a wrong type. */
 export function decodeHeartbeat(value: unknown): Heartbeat | undefined {
   if (!isObject(value) || !Array.isArray(value.pieces)) return undefined;
   const { hearth, address, build, yard, tenure, tick: sequence, baton } = value;
@@ -75,7 +78,7 @@
   };
 }
 
-/** Decodes a heartbeat from its JSON text; undefined when the text is not JSON or not a heartbeat. */
+/** Decodes a heartbeat from its JSON text. Undefined if the text is not JSON or not a heartbeat. */
 export function parseHeartbeat(body: string): Heartbeat | undefined {
   try {
     return decodeHeartbeat(parseJson(body));
@@ -99,8 +102,9 @@
 }
 
 /**
- * The JSON value that carries commands under a fencing token. `incarnation` names the one that may execute them, for a
- * direct call; undefined for the response to a heartbeat, which belongs to the incarnation that sent it.
+ * Encodes commands under a fencing token as a JSON value. For a direct call, `incarnation` is the incarnation of the
+ * worker that may execute them. It is undefined for the response to a heartbeat, which belongs to the incarnation that
+ * sent the heartbeat.
  */
 export function encodeCommands(
   fencingToken: WireInt,
@@ -113,7 +117,7 @@
     : { baton: fencingToken, tenure: incarnation, orders: encoded };
 }
 
-/** The JSON value that sends a worker to another controller, `member`. */
+/** Encodes the JSON value that redirects a worker to the controller `member`. */
 export function encodeRedirect(member: string): unknown {
   return { steward: member };
 }
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,4 +1,7 @@
-/** Delivers commands to workers: in the responses to their heartbeats, and by direct calls where waiting would cost time. */
+/**
+ * Delivers commands to workers in the responses to their heartbeats, and by direct calls if waiting for the next
+ * heartbeat would cost time.
+ */
 import type { Logger } from 'pino';
 import { assertNever } from '@pumicehinge/runtime';
 import {
@@ -23,23 +26,23 @@
 
 const COMMANDS_PATH = '/orders';
 
-/** HTTP status of a call whose commands the worker executed; its body is a heartbeat. */
-const EXECUTED = 200;
-/** HTTP status of a call that the worker could not read. */
-const MALFORMED = 400;
-/** HTTP status of a call of an older term or another incarnation; its body is a heartbeat. */
-const FENCED = 409;
+/** HTTP status of a direct call whose commands the worker executed. The response body is a heartbeat. */
+const STATUS_EXECUTED = 200;
+/** HTTP status of a direct call that the worker could not decode. */
+const STATUS_MALFORMED = 400;
+/** HTTP status of a direct call for an older term or another incarnation. The response body is a heartbeat. */
+const STATUS_FENCED = 409;
 
-/** How a direct call ended. `noResponse` says by its failure whether the commands may still be executed. */
+/** How a direct call ended. Without a response, `failure` tells whether the commands may still be executed. */
 export type CommandCallOutcome =
   | { readonly kind: 'response'; readonly status: number; readonly body: string }
   | { readonly kind: 'noResponse'; readonly failure: CallFailure };
 
-/** The end of a direct call with commands to a worker. */
+/** The result of a direct call with commands to a worker. */
 export interface CommandCallResult {
   readonly node: Node;
-  /** The attempts that the call was to start. */
-  readonly starts: readonly Attempt[];
+  /** The attempts that the call was meant to start. */
+  readonly attemptsToStart: readonly Attempt[];
   readonly outcome: CommandCallOutcome;
 }
 
@@ -47,67 +50,67 @@
 export interface CommandDispatcherDependencies {
   readonly term: LeadershipTerm;
   readonly clusterState: ClusterState;
-  /** For calls to workers. */
+  /** Sends the direct calls to workers. */
   readonly caller: HttpCaller;
   readonly log: Logger;
-  /** Whether a planned attempt may be started now; asked right before each start command. */
+  /** Whether a planned attempt may be started now. This is checked right before each start command. */
   readonly mayStart: (attempt: Attempt) => boolean;
-  /** Brings the result through the leader's mailbox to `handleCallResult`. */
+  /** Delivers the result to `handleCallResult` through the leader's mailbox. */
   readonly deliverCallResult: (result: CommandCallResult) => void;
-  /** Handles the heartbeat that a worker responds to commands with. */
+  /** Handles the heartbeat that a worker returns in response to a direct call. */
   readonly handleResponse: (node: Node, heartbeat: Heartbeat) => void;
 }
 
-/** Commands for one direct call, and the attempts among them that it starts. */
+/** The commands of one direct call, and the attempts that it starts. */
 interface DirectCall {
   readonly commands: readonly WorkerCommand[];
-  readonly starts: readonly Attempt[];
+  readonly attemptsToStart: readonly Attempt[];
 }
 
-/** What the end of a direct call proves about its commands. */
-type Execution = 'executed' | 'notExecuted' | 'unknown';
+/** Whether the commands of a direct call were executed, as far as its outcome proves it. */
+type ExecutionStatus = 'executed' | 'notExecuted' | 'unknown';
 
 /**
- * Sends each command until its effect shows. A direct start without a response keeps its resources allocated, as it may
- * be executed for as long as the worker's incarnation lasts.
+ * Sends each command until a heartbeat shows its effect. A start command that was sent by a direct call without a
+ * response keeps its resources allocated, because it may be executed for as long as the worker's incarnation lasts.
  */
 export class CommandDispatcher {
-  /** Nodes with a direct call under way. */
-  private readonly calling = new Set<Node>();
-  /** Direct starts whose call ended without a response. */
+  /** Nodes with a direct call in flight. */
+  private readonly nodesBeingCalled = new Set<Node>();
+  /** Attempts for which it is unknown whether their direct start was executed. */
   private readonly lostStarts = new Set<Attempt>();
-  /** Steady ms at which a stop was last sent by a direct call. */
+  /** Steady time in milliseconds at which a direct call last carried a stop command for the attempt. */
   private readonly stopSentMs = new Map<Attempt, number>();
 
-  constructor(private readonly deps: CommandDispatcherDependencies) {}
+  constructor(private readonly dependencies: CommandDispatcherDependencies) {}
 
   /**
-   * Requests that the attempt stop, with `gracePeriodS` seconds to save a checkpoint; a request with a shorter grace period
-   * overrides an earlier one. An attempt that was never sent is withdrawn at once.
+   * Requests that the attempt stop, with `gracePeriodS` seconds to save a checkpoint. A request with a shorter grace
+   * period overrides an earlier one. An attempt whose start was never sent is withdrawn at once.
    */
   stop(attempt: Attempt, gracePeriodS: number): void {
     if (attempt.state === 'exited') return;
     if (attempt.state === 'planned' && attempt.directStart === 'none') {
-      this.deps.clusterState.withdrawPlanned(attempt);
+      this.dependencies.clusterState.withdrawPlanned(attempt);
     } else if (!attempt.stopRequest || gracePeriodS < attempt.stopRequest.gracePeriodS) {
       attempt.requestStop(gracePeriodS);
-      this.deps.clusterState.markAwaitingCommands(attempt.node);
+      this.dependencies.clusterState.markAwaitingCommands(attempt.node);
       this.stopSentMs.delete(attempt);
     }
   }
 
-  /** The attempt has ended: nothing more is sent for it. */
+  /** Discards the state of an attempt that has ended. Nothing more is sent for it. */
   forget(attempt: Attempt): void {
     this.stopSentMs.delete(attempt);
   }
 
   /**
-   * The commands for the response to the node's heartbeat with this sequence number, at steady ms `nowMs`. Starts among
-   * them count as sent.
+   * Prepares the commands for the response to the node's heartbeat with this sequence number, and marks the start
+   * commands among them as sent. `nowMs` is the steady time in milliseconds.
    */
-  commandsForHeartbeat(node: Node, sequence: WireInt, nowMs: number): WorkerCommand[] {
+  prepareCommandsForHeartbeat(node: Node, sequence: WireInt, nowMs: number): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
-    for (const { command, attempt } of pendingCommands(node, this.deps.mayStart)) {
+    for (const { command, attempt } of pendingCommands(node, this.dependencies.mayStart)) {
       if (commands.length >= MAX_COMMANDS_PER_RESPONSE) break;
       if (command.kind === 'start') this.markSent(attempt, sequence, nowMs);
       commands.push(command);
@@ -115,26 +118,29 @@
     return commands;
   }
 
-  /** Calls all workers that have commands they may not know of, at steady ms `nowMs`. */
+  /** Calls all workers that may not know of their commands yet. `nowMs` is the steady time in milliseconds. */
   sendPending(nowMs: number): void {
-    for (const node of this.deps.clusterState.nodesAwaitingCommands) this.send(node, nowMs);
+    for (const node of this.dependencies.clusterState.nodesAwaitingCommands) this.sendToNode(node, nowMs);
   }
 
-  /** Applies the end of a direct call to the attempts that it was to start, and the worker's response to the node. */
-  handleCallResult({ node, starts, outcome }: CommandCallResult): void {
-    this.calling.delete(node);
-    const execution = executionOf(outcome);
-    for (const attempt of starts) this.endDirectStart(attempt, execution);
+  /**
+   * Applies the result of a direct call to the attempts that it was meant to start, and the worker's response to the
+   * node.
+   */
+  handleCallResult({ node, attemptsToStart, outcome }: CommandCallResult): void {
+    this.nodesBeingCalled.delete(node);
+    const executionStatus = determineExecutionStatus(outcome);
+    for (const attempt of attemptsToStart) this.endDirectStart(attempt, executionStatus);
     if (outcome.kind !== 'response') return;
-    if (outcome.status !== EXECUTED && outcome.status !== FENCED) return;
-    // The node may have been deleted meanwhile, or deleted and added anew.
-    if (this.deps.clusterState.nodes.get(node.name) !== node) return;
+    if (outcome.status !== STATUS_EXECUTED && outcome.status !== STATUS_FENCED) return;
+    // The node may have been deleted in the meantime, or deleted and added again.
+    if (this.dependencies.clusterState.nodes.get(node.name) !== node) return;
     const heartbeat = parseHeartbeat(outcome.body);
-    if (heartbeat) this.deps.handleResponse(node, heartbeat);
+    if (heartbeat) this.dependencies.handleResponse(node, heartbeat);
   }
 
   /**
-   * Whether the leader must give up its term because a lost start of an ended job may still be executed: that is
+   * Whether the leader must give up its term because a lost start of an ended job may still be executed. That is
    * possible for as long as the worker's incarnation lasts, and only a higher fencing token rules it out.
    */
   needsNewTerm(nowMs: number): boolean {
@@ -146,58 +152,65 @@
         !attempt.job.isOpen &&
         nowMs - attempt.sentMs >= LOST_START_FENCING_DELAY_MS
       ) {
-        this.deps.log.info({ task: taskName(attempt) }, 'term ended to fence a lost start of an ended job');
+        this.dependencies.log.info(
+          { task: taskName(attempt) },
+          'term ended to fence a lost task start of an ended job',
+        );
         return true;
       }
     }
     return false;
   }
 
-  private send(node: Node, nowMs: number): void {
-    if (this.calling.has(node) || !node.reconciled || node.address === '') return;
-    if (!this.deps.term.authority.isValid(nowMs)) return;
+  private sendToNode(node: Node, nowMs: number): void {
+    if (this.nodesBeingCalled.has(node) || !node.reconciled || node.address === '') return;
+    if (!this.dependencies.term.authority.isValid(nowMs)) return;
     if (!needsCommands(node)) {
-      this.deps.clusterState.clearAwaitingCommands(node);
+      this.dependencies.clusterState.clearAwaitingCommands(node);
       return;
     }
-    const { commands, starts } = this.prepareDirectCall(node, nowMs);
+    const { commands, attemptsToStart } = this.prepareDirectCall(node, nowMs);
     if (commands.length === 0) return;
-    this.calling.add(node);
-    this.call(node, commands, starts);
+    this.nodesBeingCalled.add(node);
+    this.callWorker(node, commands, attemptsToStart);
   }
 
-  private call(node: Node, commands: readonly WorkerCommand[], starts: readonly Attempt[]): void {
-    const { caller, term, deliverCallResult } = this.deps;
+  private callWorker(
+    node: Node,
+    commands: readonly WorkerCommand[],
+    attemptsToStart: readonly Attempt[],
+  ): void {
+    const { caller, term, deliverCallResult } = this.dependencies;
     const body = formatJson(encodeCommands(term.fencingToken, commands, node.incarnation));
     caller.call(node.address, 'POST', COMMANDS_PATH, body, COMMAND_CALL_TIMEOUT_MS).then(
       (response) => {
         const outcome = { kind: 'response', status: response.status, body: response.body } as const;
-        deliverCallResult({ node, starts, outcome });
+        deliverCallResult({ node, attemptsToStart, outcome });
       },
       (error: unknown) => {
         const failure = error instanceof CallError ? error.failure : 'unclear';
-        deliverCallResult({ node, starts, outcome: { kind: 'noResponse', failure } });
+        deliverCallResult({ node, attemptsToStart, outcome: { kind: 'noResponse', failure } });
       },
     );
   }
 
   private prepareDirectCall(node: Node, nowMs: number): DirectCall {
     const commands: WorkerCommand[] = [];
-    const starts: Attempt[] = [];
-    for (const pending of pendingCommands(node, this.deps.mayStart)) {
+    const attemptsToStart: Attempt[] = [];
+    for (const pendingCommand of pendingCommands(node, this.dependencies.mayStart)) {
       if (commands.length >= MAX_COMMANDS_PER_RESPONSE) break;
-      if (!this.prepareDirectCommand(pending, nowMs)) continue;
-      commands.push(pending.command);
-      if (pending.command.kind === 'start') starts.push(pending.attempt);
+      if (!this.prepareDirectCommand(pendingCommand, nowMs)) continue;
+      commands.push(pendingCommand.command);
+      if (pendingCommand.command.kind === 'start') attemptsToStart.push(pendingCommand.attempt);
     }
-    return { commands, starts };
+    return { commands, attemptsToStart };
   }
 
-  /** Whether the command goes with a direct call now; if so, it is marked as sent. */
+  /** Whether the direct call carries the command now. If so, the command is marked as sent. */
   private prepareDirectCommand({ command, attempt }: PendingCommand, nowMs: number): boolean {
     switch (command.kind) {
       case 'acknowledge':
-        // Not urgent: it goes with the response to the next heartbeat.
+        // An acknowledgement is not urgent and is sent in the response to the next heartbeat.
         return false;
       case 'stop':
         return this.prepareDirectStop(attempt, nowMs);
@@ -216,8 +229,8 @@
   }
 
   private prepareDirectStart(attempt: Attempt, nowMs: number): boolean {
-    // A lost start is repeated in responses to heartbeats only: which of two copies a worker's response to a direct
-    // call speaks of would be unclear.
+    // A lost start is repeated only in responses to heartbeats. After a second direct call it would be unclear which of
+    // the two copies the worker's response refers to.
     if (attempt.directStart !== 'none') return false;
     this.markSent(attempt, attempt.node.sequence, nowMs);
     attempt.beginDirectStart();
@@ -226,23 +239,23 @@
 
   private markSent(attempt: Attempt, sequence: WireInt, nowMs: number): void {
     attempt.markStartSent(sequence, nowMs);
-    this.deps.log.debug({ task: taskName(attempt), node: attempt.node.name }, 'task start sent');
+    this.dependencies.log.debug({ task: taskName(attempt), node: attempt.node.name }, 'task start sent');
   }
 
-  private endDirectStart(attempt: Attempt, execution: Execution): void {
-    attempt.endDirectStart(execution === 'unknown' ? 'lost' : 'none');
-    if (execution === 'unknown') this.lostStarts.add(attempt);
-    if (execution === 'notExecuted' && attempt.state === 'sent') attempt.returnToPlanned();
+  private endDirectStart(attempt: Attempt, executionStatus: ExecutionStatus): void {
+    attempt.endDirectStart(executionStatus === 'unknown' ? 'lost' : 'none');
+    if (executionStatus === 'unknown') this.lostStarts.add(attempt);
+    if (executionStatus === 'notExecuted' && attempt.state === 'sent') attempt.returnToPlanned();
   }
 }
 
-function executionOf(outcome: CommandCallOutcome): Execution {
+function determineExecutionStatus(outcome: CommandCallOutcome): ExecutionStatus {
   if (outcome.kind === 'noResponse') return outcome.failure === 'unsent' ? 'notExecuted' : 'unknown';
   switch (outcome.status) {
-    case EXECUTED:
+    case STATUS_EXECUTED:
       return 'executed';
-    case FENCED:
-    case MALFORMED:
+    case STATUS_FENCED:
+    case STATUS_MALFORMED:
       return 'notExecuted';
     default:
       return 'unknown';
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -13,16 +13,19 @@
 import { formatJson } from '../wire/json.js';
 import { encodeCommands } from './codec.js';
 import type { CommandDispatcher } from './command-dispatcher.js';
-import { stopCommandsForEndedJobs } from './stop-commands.js';
+import { createStopCommandsForEndedJobs } from './stop-commands.js';
 
 /** A heartbeat that reached the leader. */
 export interface ReceivedHeartbeat {
   readonly heartbeat: Heartbeat;
   readonly respond: Respond;
-  /** The controller that the worker sent it to. */
+  /** Name of the controller that the worker sent the heartbeat to. */
   readonly relayedBy: string;
-  /** Milliseconds for which the response may be under way through that controller; 0: the worker is connected here. */
-  readonly relayDelayMs: number;
+  /**
+   * Longest time in milliseconds that the response may take through that controller. 0 if the worker is connected to
+   * this controller.
+   */
+  readonly maxRelayDelayMs: number;
 }
 
 /** Dependencies of HeartbeatHandler. */
@@ -33,17 +36,17 @@
   readonly heartbeatReconciler: HeartbeatReconciler;
   readonly replica: Pick<StateReplica, 'get'>;
   readonly nodeRecords: Pick<NodeRecords, 'markUsed'>;
-  readonly commands: Pick<CommandDispatcher, 'commandsForHeartbeat'>;
-  /** Steady ms. */
+  readonly commands: Pick<CommandDispatcher, 'prepareCommandsForHeartbeat'>;
+  /** The current steady time in milliseconds. */
   readonly nowMs: () => number;
   readonly log: Logger;
-  /** What a node of this instance type has. */
+  /** The full resources of a node of this instance type. */
   readonly capacityOf: (type: string) => Resources;
-  /** Whether the node of this name was deleted not long ago. */
+  /** Whether a node of this name was deleted recently. */
   readonly wasDeleted: (name: string) => boolean;
-  /** From now on all attempts on the node are known. */
+  /** Called once all attempts on the node are known. */
   readonly markReconciled: (node: Node) => void;
-  /** More tasks may fit now than at the last scheduling cycle. */
+  /** Called if more tasks may fit than in the last scheduling cycle. */
   readonly requestSchedulingCycle: () => void;
 }
 
@@ -51,126 +54,141 @@
 
 /**
  * Applies heartbeats to the cluster state and responds with commands. Only a heartbeat with the fencing token of this
- * term proves that its worker received a response of this leader, so only such a one says anything about the node
- * (`src/cluster/lease-rules.ts`).
+ * term proves that its worker received a response of this leader, so only such a heartbeat is evidence about the node
+ * (see `src/cluster/lease-rules.ts`).
  */
 export class HeartbeatHandler {
-  /** Most heartbeats get no command: their response is encoded once. */
+  /** The response without commands. It is encoded once, because most heartbeats get it. */
   private readonly emptyResponse: HttpResponse;
 
-  constructor(private readonly deps: HeartbeatHandlerDependencies) {
-    this.emptyResponse = { status: 200, body: formatJson(encodeCommands(deps.term.fencingToken, [])) };
+  constructor(private readonly dependencies: HeartbeatHandlerDependencies) {
+    this.emptyResponse = {
+      status: 200,
+      body: formatJson(encodeCommands(dependencies.term.fencingToken, [])),
+    };
   }
 
-  /** Handles a heartbeat, and responds to it: with 200 only if this controller is entitled to extend the worker's lease. */
+  /**
+   * Handles a heartbeat and responds to it. The status is 200 only if this controller is entitled to extend the
+   * worker's lease.
+   */
   handle(received: ReceivedHeartbeat): void {
     const { heartbeat, respond, relayedBy } = received;
-    const known = this.deps.clusterState.nodes.get(heartbeat.node);
-    const freshness = this.classify(heartbeat, known);
+    const knownNode = this.dependencies.clusterState.nodes.get(heartbeat.node);
+    const freshness = this.classifyFreshness(heartbeat, knownNode);
     if (freshness === 'stale') return respond(NOT_ACCEPTED);
-    known?.recordRelay(relayedBy);
-    if (freshness === 'firstContact') this.handleFirstContact(known, received);
-    else this.handleCurrent(known ?? this.addNode(received), received);
+    knownNode?.recordRelay(relayedBy);
+    if (freshness === 'firstContact') this.handleFirstContact(knownNode, received);
+    else this.handleCurrentHeartbeat(knownNode ?? this.addNode(received), received);
   }
 
-  /** Applies the heartbeat that a worker responded to commands with; it extends no lease. */
+  /** Applies the heartbeat that a worker returned in response to a direct call. It does not extend the lease. */
   handleCommandResponse(node: Node, heartbeat: Heartbeat): void {
-    const { term, heartbeatReconciler, nowMs } = this.deps;
+    const { term, heartbeatReconciler, nowMs } = this.dependencies;
     if (heartbeat.fencingToken !== term.fencingToken) return;
     if (heartbeatReconciler.apply(node, heartbeat, 'commandResponse', nowMs())) this.recordContact(node);
   }
 
-  private classify(heartbeat: Heartbeat, known: Node | undefined): HeartbeatFreshness {
-    return classifyHeartbeat(heartbeat.fencingToken, this.deps.term.fencingToken, {
-      deleted: this.deps.wasDeleted(heartbeat.node),
-      reconciled: known?.reconciled ?? false,
+  private classifyFreshness(heartbeat: Heartbeat, knownNode: Node | undefined): HeartbeatFreshness {
+    return classifyHeartbeat(heartbeat.fencingToken, this.dependencies.term.fencingToken, {
+      deleted: this.dependencies.wasDeleted(heartbeat.node),
+      reconciled: knownNode?.reconciled ?? false,
     });
   }
 
   private addNode({ heartbeat, relayedBy }: ReceivedHeartbeat): Node {
     const { node: name, address, type, zone, spot } = heartbeat;
-    const capacity = this.deps.capacityOf(type);
+    const capacity = this.dependencies.capacityOf(type);
     const description = { name, address, type, zone, spot, capacity };
-    const node = this.deps.clusterState.addNode(description, this.deps.nowMs());
+    const node = this.dependencies.clusterState.addNode(description, this.dependencies.nowMs());
     node.recordRelay(relayedBy);
     return node;
   }
 
-  private handleCurrent(node: Node, received: ReceivedHeartbeat): void {
+  private handleCurrentHeartbeat(node: Node, received: ReceivedHeartbeat): void {
     const { heartbeat, respond } = received;
-    const nowMs = this.deps.nowMs();
-    const isFirst = node.lastHeartbeatMs === -Infinity;
-    // A late one is not answered with 200, as its worker must not count on that. Or the worker was restarted, and its
-    // counters with it: the node then becomes unreachable, and is replaced.
-    if (!this.deps.heartbeatReconciler.apply(node, heartbeat, 'heartbeat', nowMs))
+    const nowMs = this.dependencies.nowMs();
+    const isFirstHeartbeat = node.lastHeartbeatMs === -Infinity;
+    // A late heartbeat does not get the status 200, because its worker must not rely on the response. The heartbeat may
+    // also come from a restarted worker, whose counters started over. Its node becomes unreachable and is replaced.
+    if (!this.dependencies.heartbeatReconciler.apply(node, heartbeat, 'heartbeat', nowMs))
       return respond(NOT_ACCEPTED);
-    if (isFirst) this.recordFirstHeartbeat(node, nowMs);
+    if (isFirstHeartbeat) this.recordFirstHeartbeat(node, nowMs);
     this.recordContact(node);
-    const commands = this.deps.commands.commandsForHeartbeat(node, heartbeat.sequence, nowMs);
+    const commands = this.dependencies.commands.prepareCommandsForHeartbeat(node, heartbeat.sequence, nowMs);
     if (!this.mayRespond()) return respond(NOT_ACCEPTED);
     this.respond(received, node, commands);
   }
 
   /**
-   * Shows the fencing token of this term to a worker that does not know it yet, and stops the tasks of ended jobs, as
-   * leaders may change faster than workers send heartbeats. The heartbeat may be a copy of long ago, so that nothing else
-   * can be said.
+   * Sends the fencing token of this term to a worker that does not know it yet. It also stops the tasks of ended
+   * jobs, because leaders may change faster than workers send heartbeats. The heartbeat may be an old copy, so
+   * nothing else is concluded from it.
    */
   private handleFirstContact(node: Node | undefined, received: ReceivedHeartbeat): void {
     const { heartbeat, respond } = received;
-    const { nodeRecords, replica, requestSchedulingCycle } = this.deps;
+    const { nodeRecords, replica, requestSchedulingCycle } = this.dependencies;
     if (node) {
-      const nowMs = this.deps.nowMs();
+      const nowMs = this.dependencies.nowMs();
       node.recordFirstContact(nowMs);
-      // The responses do not reach the worker. Its lease must expire here too, or its tasks would be waited for for ever.
+      // The responses do not reach the worker. Its lease must also expire on the leader, which would otherwise wait for
+      // the worker's tasks forever.
       if (nowMs - node.firstContactMs > FIRST_CONTACT_WINDOW_MS) return respond(NOT_ACCEPTED);
       node.recordAddress(heartbeat.address);
       if (!node.persisted) nodeRecords.markUsed(node);
       requestSchedulingCycle();
     }
     if (!this.mayRespond()) return respond(NOT_ACCEPTED);
-    this.respond(received, node, stopCommandsForEndedJobs(heartbeat, replica));
+    this.respond(received, node, createStopCommandsForEndedJobs(heartbeat, replica));
   }
 
   private recordFirstHeartbeat(node: Node, nowMs: number): void {
-    const sinceLaunchMs = Math.round(nowMs - node.launchedMs);
-    this.deps.log.info({ node: node.name, ms: sinceLaunchMs }, 'first heartbeat received');
+    const timeSinceLaunchMs = Math.round(nowMs - node.launchedMs);
+    this.dependencies.log.info({ node: node.name, ms: timeSinceLaunchMs }, 'first heartbeat received');
     node.markIdle(nowMs);
   }
 
-  /** The attempts on the node are known now, and it may get further ones once its record is written. */
+  /** Records that all attempts on the node are known. The node may get further ones once its record is written. */
   private recordContact(node: Node): void {
     if (!node.reconciled) {
       node.markReconciled();
-      this.deps.markReconciled(node);
-      this.deps.requestSchedulingCycle();
+      this.dependencies.markReconciled(node);
+      this.dependencies.requestSchedulingCycle();
     }
     if (node.attempts.size > 0) node.markBusy();
-    else if (node.idleSinceMs === Infinity) node.markIdle(this.deps.nowMs());
-    if (!node.persisted) this.deps.nodeRecords.markUsed(node);
+    else if (node.idleSinceMs === Infinity) node.markIdle(this.dependencies.nowMs());
+    if (!node.persisted) this.dependencies.nodeRecords.markUsed(node);
   }
 
-  /** Whether this is the only controller entitled to respond to workers, and knows all cancellations it has to. */
+  /**
+   * Whether this is the only controller entitled to respond to workers, and it knows all the cancellations that it
+   * has to know.
+   */
   private mayRespond(): boolean {
-    const nowMs = this.deps.nowMs();
-    return this.deps.term.authority.isValid(nowMs) && this.deps.cancellationWatermark.mayAnswer(nowMs);
+    const nowMs = this.dependencies.nowMs();
+    return (
+      this.dependencies.term.authority.isValid(nowMs) &&
+      this.dependencies.cancellationWatermark.mayAnswer(nowMs)
+    );
   }
 
   /**
-   * Responds with 200, right after `mayRespond`, and counts the lease that this extends. A node that is not in the cluster
-   * state holds no task of this cluster: its lease does not matter.
+   * Responds with status 200 and records the extension of the worker's lease. It must be called right after
+   * `mayRespond`. A node that is not in the cluster state holds no task of this cluster, so its lease does not
+   * matter.
    */
   private respond(
-    { respond, relayDelayMs }: ReceivedHeartbeat,
+    { respond, maxRelayDelayMs }: ReceivedHeartbeat,
     node: Node | undefined,
     commands: readonly WorkerCommand[],
   ): void {
-    if (node) this.deps.heartbeatReconciler.recordResponse(node, this.deps.nowMs() + relayDelayMs);
+    if (node)
+      this.dependencies.heartbeatReconciler.recordResponse(node, this.dependencies.nowMs() + maxRelayDelayMs);
     respond(this.encodeResponse(commands));
   }
 
   private encodeResponse(commands: readonly WorkerCommand[]): HttpResponse {
     if (commands.length === 0) return this.emptyResponse;
-    return { status: 200, body: formatJson(encodeCommands(this.deps.term.fencingToken, commands)) };
+    return { status: 200, body: formatJson(encodeCommands(this.dependencies.term.fencingToken, commands)) };
   }
 }
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -1,4 +1,4 @@
-/** Relays heartbeats from the workers of this controller to the leader, and the leader's responses back to them. */
+/** Relays heartbeats from the workers of this controller to the leader, and the leader's responses to the workers. */
 import type { Logger } from 'pino';
 import { Actor, assertNever, type Clock } from '@pumicehinge/runtime';
 import {
@@ -17,15 +17,17 @@
   readonly clock: Clock;
   readonly channel: Pick<PeerTransport, 'send' | 'onMessage'>;
   readonly log: Logger;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniformly distributed in [0, 1). */
   readonly random: () => number;
-  /** The leader, if it is reachable from here. */
+  /** Name of the leader, if it is reachable from this controller. */
   readonly leader: () => string | undefined;
-  /** The leader, if its host refuses connections from here: workers may reach it all the same. */
+  /** Name of the leader, if its host refuses connections from this controller. Workers may still reach it. */
   readonly refusingLeader: () => string | undefined;
-  /** Most heartbeats that may wait for a response at the same time. */
+  /** Largest number of heartbeats that may wait for a response at the same time. */
   readonly maxPending: number;
-  /** Handles a heartbeat that the leader does not answer on this controller; false: not possible now. */
+  /**
+   * Handles on this controller a heartbeat that the leader does not answer. Returns false if that is not possible now.
+   */
   readonly handleLocally: (body: string, respond: Respond) => boolean;
 }
 
@@ -33,12 +35,12 @@
 interface PendingHeartbeat {
   readonly body: string;
   readonly respond: Respond;
-  /** Steady ms. */
+  /** Steady time in milliseconds at which the heartbeat was received. */
   readonly receivedMs: number;
-  /** The member that it was last forwarded to; undefined: to none yet. */
-  forwardedTo: string | undefined;
-  /** Steady ms at which it was last forwarded; NaN: not yet. */
-  forwardedMs: number;
+  /** Name of the controller that the heartbeat was last forwarded to. Undefined if it was not forwarded yet. */
+  lastForwardedTo: string | undefined;
+  /** Steady time in milliseconds at which the heartbeat was last forwarded. NaN if it was not forwarded yet. */
+  lastForwardedMs: number;
 }
 
 interface RelayedResponse {
@@ -55,24 +57,25 @@
 const UNAVAILABLE: HttpResponse = { status: 503, body: '{}' };
 
 /**
- * Lets workers stay with a controller of their own zone: the leader then holds a few connections instead of hundreds, a
- * change of leader moves no worker, and in a partition the worker is already where its lease can be renewed by proxy. A
- * response is passed on only for a moment after its heartbeat was forwarded; the leader counts the worker's lease from
- * the end of that moment (docs/design.md).
+ * Lets workers stay connected to a controller of their own zone. The leader then holds a few connections instead of
+ * hundreds, a change of leader moves no worker, and in a partition each worker is already connected to a controller
+ * that can renew its lease by proxy. A response is passed on only for a short time after its heartbeat was forwarded.
+ * The leader counts the worker's lease from the end of that time (see docs/design.md).
  */
 export class HeartbeatRelay extends Actor<Message> {
-  private readonly pending = new Map<number, PendingHeartbeat>();
+  private readonly pendingHeartbeats = new Map<number, PendingHeartbeat>();
   /**
-   * Starts at a random number, so that a restarted process does not reuse the ids of the process before it: the leader's
-   * response to a heartbeat of that one would reach another worker, which would execute its start commands.
+   * Starts at a random number, so that a restarted process does not reuse the request ids of the previous process.
+   * Otherwise the leader's response to a request of the previous process could reach another worker, which would
+   * execute its start commands.
    */
   private lastRequestId: number;
   private isReviewScheduled = false;
 
-  constructor(private readonly deps: HeartbeatRelayDependencies) {
-    super(deps.log);
-    this.lastRequestId = Math.floor(deps.random() * RELAY_ID_RANGE);
-    deps.channel.onMessage((_member, message) => {
+  constructor(private readonly dependencies: HeartbeatRelayDependencies) {
+    super(dependencies.log);
+    this.lastRequestId = Math.floor(dependencies.random() * RELAY_ID_RANGE);
+    dependencies.channel.onMessage((_member, message) => {
       if (message.kind === 'relayed')
         this.send({ kind: 'relayed', id: message.id, status: message.status, body: message.body });
     });
@@ -93,72 +96,83 @@
   }
 
   private onHeartbeat(body: string, respond: Respond): void {
-    // Each pending heartbeat holds a socket, and users need some too. The worker turns to another controller.
-    if (this.pending.size >= this.deps.maxPending) return respond(UNAVAILABLE);
-    const receivedMs = this.deps.clock.steadyMs();
-    this.forward({ body, respond, receivedMs, forwardedTo: undefined, forwardedMs: NaN });
+    // Each pending heartbeat holds a socket, and users need sockets too. A rejected worker tries another controller.
+    if (this.pendingHeartbeats.size >= this.dependencies.maxPending) return respond(UNAVAILABLE);
+    const receivedMs = this.dependencies.clock.steadyMs();
+    this.forward({ body, respond, receivedMs, lastForwardedTo: undefined, lastForwardedMs: NaN });
     this.scheduleReview();
   }
 
-  /** Forwards under a new id each time, so that a former leader's response to the same heartbeat is not passed on. */
+  /**
+   * Forwards the heartbeat under a new request id each time, so that a former leader's response to it is not passed on.
+   */
   private forward(heartbeat: PendingHeartbeat): void {
     const requestId = ++this.lastRequestId;
-    this.pending.set(requestId, heartbeat);
-    const leader = this.deps.leader();
+    this.pendingHeartbeats.set(requestId, heartbeat);
+    const leader = this.dependencies.leader();
     if (leader === undefined) return;
-    // If the channel is full, the next review forwards it.
-    if (!this.deps.channel.send(leader, { kind: 'relay', id: requestId, body: heartbeat.body })) return;
-    heartbeat.forwardedTo = leader;
-    heartbeat.forwardedMs = this.deps.clock.steadyMs();
+    // If the channel is full, the next review forwards the heartbeat.
+    if (!this.dependencies.channel.send(leader, { kind: 'relay', id: requestId, body: heartbeat.body }))
+      return;
+    heartbeat.lastForwardedTo = leader;
+    heartbeat.lastForwardedMs = this.dependencies.clock.steadyMs();
   }
 
   private onRelayedResponse({ id, status, body }: RelayedResponse): void {
-    const heartbeat = this.pending.get(id);
+    const heartbeat = this.pendingHeartbeats.get(id);
     if (!heartbeat) return;
-    this.pending.delete(id);
-    const isValid = this.deps.clock.steadyMs() - heartbeat.forwardedMs < RELAY_RESPONSE_VALIDITY_MS;
+    this.pendingHeartbeats.delete(id);
+    const isValid =
+      this.dependencies.clock.steadyMs() - heartbeat.lastForwardedMs < RELAY_RESPONSE_VALIDITY_MS;
     heartbeat.respond(isValid ? { status, body } : UNAVAILABLE);
   }
 
   private reviewPending(): void {
-    const nowMs = this.deps.clock.steadyMs();
-    const leader = this.deps.leader();
-    const refusingLeader = this.deps.refusingLeader();
-    for (const [requestId, heartbeat] of [...this.pending]) {
-      if (refusingLeader === undefined) this.review(requestId, heartbeat, leader, nowMs);
+    const nowMs = this.dependencies.clock.steadyMs();
+    const leader = this.dependencies.leader();
+    const refusingLeader = this.dependencies.refusingLeader();
+    for (const [requestId, heartbeat] of [...this.pendingHeartbeats]) {
+      if (refusingLeader === undefined) this.reviewHeartbeat(requestId, heartbeat, leader, nowMs);
       else
-        this.finish(requestId, heartbeat, { status: 421, body: formatJson(encodeRedirect(refusingLeader)) });
+        this.completePending(requestId, heartbeat, {
+          status: 421,
+          body: formatJson(encodeRedirect(refusingLeader)),
+        });
     }
     this.scheduleReview();
   }
 
-  /** A heartbeat that the leader leaves unanswered is handled here if possible, and forwarded to a new leader. */
-  private review(
+  /**
+   * Handles an unanswered heartbeat on this controller if possible. Otherwise responds with 503 after the timeout, or
+   * forwards the heartbeat to a new leader.
+   */
+  private reviewHeartbeat(
     requestId: number,
     heartbeat: PendingHeartbeat,
     leader: string | undefined,
     nowMs: number,
   ): void {
     const isUnanswered =
-      heartbeat.forwardedTo === undefined || nowMs - heartbeat.forwardedMs >= RELAY_RESPONSE_VALIDITY_MS;
-    if (isUnanswered && this.deps.handleLocally(heartbeat.body, heartbeat.respond)) {
-      this.pending.delete(requestId);
+      heartbeat.lastForwardedTo === undefined ||
+      nowMs - heartbeat.lastForwardedMs >= RELAY_RESPONSE_VALIDITY_MS;
+    if (isUnanswered && this.dependencies.handleLocally(heartbeat.body, heartbeat.respond)) {
+      this.pendingHeartbeats.delete(requestId);
     } else if (nowMs - heartbeat.receivedMs >= RELAY_TIMEOUT_MS) {
-      this.finish(requestId, heartbeat, UNAVAILABLE);
-    } else if (leader !== undefined && leader !== heartbeat.forwardedTo) {
-      this.pending.delete(requestId);
+      this.completePending(requestId, heartbeat, UNAVAILABLE);
+    } else if (leader !== undefined && leader !== heartbeat.lastForwardedTo) {
+      this.pendingHeartbeats.delete(requestId);
       this.forward(heartbeat);
     }
   }
 
-  private finish(requestId: number, heartbeat: PendingHeartbeat, response: HttpResponse): void {
-    this.pending.delete(requestId);
+  private completePending(requestId: number, heartbeat: PendingHeartbeat, response: HttpResponse): void {
+    this.pendingHeartbeats.delete(requestId);
     heartbeat.respond(response);
   }
 
   private scheduleReview(): void {
-    if (this.isReviewScheduled || this.pending.size === 0) return;
+    if (this.isReviewScheduled || this.pendingHeartbeats.size === 0) return;
     this.isReviewScheduled = true;
-    this.deps.clock.after(RELAY_RETRY_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
+    this.dependencies.clock.after(RELAY_RETRY_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
   }
 }
--- a/src/workers/heartbeat-router.ts
+++ b/src/workers/heartbeat-router.ts
@@ -1,6 +1,6 @@
 /**
- * The way of a heartbeat at a controller that received it: to the leader of this process, to the lease renewal proxy,
- * through the relay to another controller, or back to the worker with the name of a better controller.
+ * Decides where a heartbeat goes that this controller has received: to the leader of this process, to the lease renewal
+ * proxy, through the relay to another controller, or back to the worker with the name of a better controller.
  */
 import type { Clock } from '@pumicehinge/runtime';
 import type { Heartbeat } from '../cluster/worker-messages.js';
@@ -15,17 +15,17 @@
 import type { LeaseRenewalProxy } from './lease-renewal-proxy.js';
 import type { RelayRedirector } from './relay-redirector.js';
 
-/** What becomes of a heartbeat: it is accepted and will be answered, or its worker is to be told to go elsewhere. */
+/** The route of a heartbeat: either it is accepted and will be answered, or its worker has to turn elsewhere. */
 export type HeartbeatRoute =
   | { readonly kind: 'accepted' }
-  /** The worker should turn to this controller. */
+  /** The worker should turn to the controller `member`. */
   | { readonly kind: 'redirected'; readonly member: string }
-  /** There is a leader, but none that can be named. */
+  /** There may be a leader, but this controller can't name it. */
   | { readonly kind: 'unavailable' };
 
 /** An actor that answers heartbeats: the leader or the lease renewal proxy of this process. */
 export interface HeartbeatReceiver {
-  /** Delivers a heartbeat to its mailbox. */
+  /** Delivers a heartbeat to the mailbox of the actor. */
   send(message: { kind: 'heartbeat' } & ReceivedHeartbeat): void;
 }
 
@@ -39,9 +39,9 @@
   >;
   readonly peers: PeerTransport;
   readonly clock: Clock;
-  /** The leader, while this controller leads and is ready. */
+  /** The leader actor of this process. Undefined unless this controller leads and is ready. */
   readonly leader: () => HeartbeatReceiver | undefined;
-  /** Keeps heartbeats off the leader; present while this controller leads. */
+  /** Redirects workers from the leader to relays. Undefined unless this controller leads. */
   readonly redirector: () => RelayRedirector | undefined;
   readonly leaseRenewalProxy: Pick<LeaseRenewalProxy, 'shouldRenewLeases' | 'send'>;
   readonly relay: Pick<HeartbeatRelay, 'send'>;
@@ -52,81 +52,96 @@
 
 /** Routes heartbeats of workers and heartbeats that peers relay to this controller. */
 export class HeartbeatRouter {
-  constructor(private readonly deps: HeartbeatRouterDependencies) {
-    deps.peers.onMessage((member, message) => {
-      if (message.kind === 'relay') this.handleRelayed(member, message);
+  constructor(private readonly dependencies: HeartbeatRouterDependencies) {
+    dependencies.peers.onMessage((member, message) => {
+      if (message.kind === 'relay') this.handleRelayedHeartbeat(member, message);
     });
   }
 
-  /** Routes a worker's heartbeat; `body` is its form on the wire. Accepted ones are answered through `respond`. */
+  /**
+   * Routes a worker's heartbeat. `body` is its encoded form. A heartbeat that is accepted is answered through
+   * `respond`.
+   */
   route(heartbeat: Heartbeat, body: string, respond: Respond): HeartbeatRoute {
-    const target = this.betterTargetOf(heartbeat);
-    if (target !== undefined) return { kind: 'redirected', member: target };
-    const receiver = this.localReceiver();
+    const betterTarget = this.findBetterTarget(heartbeat);
+    if (betterTarget !== undefined) return { kind: 'redirected', member: betterTarget };
+    const receiver = this.findLocalReceiver();
     if (receiver) {
       this.deliver(receiver, heartbeat, respond);
       return ACCEPTED;
     }
-    const leader = this.trustedLeader();
-    if (leader === undefined && !this.deps.leaderView.isElecting) return UNAVAILABLE;
-    if (leader !== undefined && this.deps.peers.refusesConnections(leader))
+    const leader = this.findTrustedLeader();
+    if (leader === undefined && !this.dependencies.leaderView.isElecting) return UNAVAILABLE;
+    if (leader !== undefined && this.dependencies.peers.refusesConnections(leader))
       return { kind: 'redirected', member: leader };
-    // The relay also holds heartbeats for a moment while there is no leader, or one that is not ready yet: a redirected
-    // worker loses a second each time, and its lease runs.
-    this.deps.relay.send({ kind: 'heartbeat', body, respond });
+    // The relay also holds heartbeats for a moment while there is no leader or the leader is not ready yet. Each
+    // redirect costs the worker a second, and its lease keeps running.
+    this.dependencies.relay.send({ kind: 'heartbeat', body, respond });
     return ACCEPTED;
   }
 
-  /** Handles a relayed heartbeat in this process if it leads or renews leases; false: not now. */
+  /** Handles a heartbeat of the relay in this process if it leads or renews leases. Returns false if it can't. */
   handleLocally(body: string, respond: Respond): boolean {
-    const receiver = this.localReceiver();
+    const receiver = this.findLocalReceiver();
     const heartbeat = receiver && parseHeartbeat(body);
     if (!heartbeat) return false;
     this.deliver(receiver, heartbeat, respond);
     return true;
   }
 
-  /** The leader, if it is alive but refuses connections of this controller: its workers may still reach it. */
+  /** Name of the leader, if it is alive but refuses connections from this controller. Workers may still reach it. */
   refusingLeader(): string | undefined {
-    const leader = this.trustedLeader();
-    return leader !== undefined && this.deps.peers.refusesConnections(leader) ? leader : undefined;
+    const leader = this.findTrustedLeader();
+    return leader !== undefined && this.dependencies.peers.refusesConnections(leader) ? leader : undefined;
   }
 
-  /** The known leader, unless the knowledge may be stale. */
-  private trustedLeader(): string | undefined {
-    const { leaderView } = this.deps;
+  /** Name of the known leader. Undefined if that information may be stale. */
+  private findTrustedLeader(): string | undefined {
+    const { leaderView } = this.dependencies;
     return leaderView.isLeaderInfoFresh ? leaderView.knownLeader() : undefined;
   }
 
-  /** The actor of this process that can answer heartbeats now: the leader, or else the lease renewal proxy. */
-  private localReceiver(): HeartbeatReceiver | undefined {
-    const { leader, leaseRenewalProxy } = this.deps;
+  /**
+   * The actor of this process that can answer heartbeats now, which is the leader or else the lease renewal proxy.
+   * Undefined if neither can.
+   */
+  private findLocalReceiver(): HeartbeatReceiver | undefined {
+    const { leader, leaseRenewalProxy } = this.dependencies;
     return leader() ?? (leaseRenewalProxy.shouldRenewLeases() ? leaseRenewalProxy : undefined);
   }
 
   private deliver(receiver: HeartbeatReceiver, heartbeat: Heartbeat, respond: Respond): void {
-    const relayedBy = this.deps.self.member;
-    receiver.send({ kind: 'heartbeat', heartbeat, respond, relayedBy, relayDelayMs: 0 });
+    const relayedBy = this.dependencies.self.member;
+    receiver.send({ kind: 'heartbeat', heartbeat, respond, relayedBy, maxRelayDelayMs: 0 });
   }
 
   /**
-   * A controller that should rather receive the heartbeat: one of the worker's own zone, where it stays when zones are
-   * partitioned, and there rather a relay than a busy leader. Another one each time, as the one named before may be out
-   * of the worker's reach.
+   * Name of a controller that should receive the heartbeat instead of this one. Undefined if there is none. The
+   * controller belongs to the worker's own zone, where the worker can stay when zones are partitioned. Within that
+   * zone a relay is better than a busy leader. Successive heartbeats get different controllers, because the worker
+   * may be unable to reach the one that was named before.
    */
-  private betterTargetOf({ zone, node, sequence }: Heartbeat): string | undefined {
-    const { leaderView, self, redirector, clock } = this.deps;
+  private findBetterTarget({ zone, node, sequence }: Heartbeat): string | undefined {
+    const { leaderView, self, redirector, clock } = this.dependencies;
     const targets = leaderView.heartbeatTargets(zone);
-    const isBetter =
+    const shouldRedirect =
       zone !== self.zone || redirector()?.tryRedirect(node, targets.length, clock.steadyMs()) === true;
-    if (!isBetter || targets.length === 0) return undefined;
+    if (!shouldRedirect || targets.length === 0) return undefined;
     return targets[(hashName(node) + Number(sequence)) % targets.length];
   }
 
-  private handleRelayed(member: string, { id, body }: Extract<PeerMessage, { kind: 'relay' }>): void {
+  private handleRelayedHeartbeat(
+    member: string,
+    { id, body }: Extract<PeerMessage, { kind: 'relay' }>,
+  ): void {
     const respond: Respond = (response) =>
-      this.deps.peers.send(member, { kind: 'relayed', id, status: response.status, body: response.body });
-    const leader = this.deps.leader();
+      this.dependencies.peers.send(member, {
+        kind: 'relayed',
+        id,
+        status: response.status,
+        body: response.body,
+      });
+    const leader = this.dependencies.leader();
     const heartbeat = leader && parseHeartbeat(body);
     if (!heartbeat) return respond({ status: 503, body: '{}' });
     leader.send({
@@ -134,7 +149,7 @@
       heartbeat,
       respond,
       relayedBy: member,
-      relayDelayMs: RELAY_RESPONSE_VALIDITY_MS,
+      maxRelayDelayMs: RELAY_RESPONSE_VALIDITY_MS,
     });
   }
 }
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -24,21 +24,23 @@
 import type { CommitResult, TransactionBatcher } from '../state/transaction-batcher.js';
 import { formatJson, type WireInt } from '../wire/json.js';
 import { encodeCommands } from './codec.js';
-import { stopCommandsForEndedJobs } from './stop-commands.js';
+import { createStopCommandsForEndedJobs } from './stop-commands.js';
 
 /** Dependencies of LeaseRenewalProxy. */
 export interface LeaseRenewalProxyDependencies {
   /** Name of this controller. */
   readonly member: string;
-  /** Most bytes of a value in the state store. */
+  /** Largest size of a value in the state store, in bytes. */
   readonly valueBytes: number;
   readonly replica: Pick<StateReplica, 'get' | 'listPrefix' | 'linearizableRead'>;
   readonly batcher: Pick<TransactionBatcher, 'commit'>;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Whether the member's host takes no connection from here although it is up: no sign of a partition. */
+  /**
+   * Whether the member's host is up but refuses connections from this controller. That does not indicate a partition.
+   */
   readonly refusesConnections: (member: string) => boolean;
-  /** Steady ms of the last message from the member. */
+  /** Steady time in milliseconds of the last message from the member. */
   readonly lastContactMs: (member: string) => number;
 }
 
@@ -48,12 +50,12 @@
   readonly respond: Respond;
 }
 
-/** A heartbeat whose response may rest on what the state store held at `readMs` (steady ms). */
+/** A heartbeat whose response may rely on what the state store held at the steady time `readMs`, in milliseconds. */
 interface VerifiedHeartbeat extends PendingHeartbeat {
   readonly readMs: number;
 }
 
-/** The end of the write that delegates the leases of a batch of nodes in a term. */
+/** The result of the write that delegates the leases of a batch of nodes in a term. */
 interface DelegationResult {
   readonly batch: readonly PendingHeartbeat[];
   readonly term: number;
@@ -66,68 +68,75 @@
   | ({ readonly kind: 'delegationWritten' } & DelegationResult)
   | { readonly kind: 'check' };
 
-/** The leader by the state replica; `revision` is the modification revision of its key. */
+/** The leader according to the state replica. `revision` is the modification revision of the leader key. */
 interface KnownLeader {
   readonly member: string;
   readonly term: number;
   readonly revision: WireInt;
 }
 
-const NOT_ENTITLED: HttpResponse = { status: 503, body: '{}' };
+const NOT_ENTITLED_RESPONSE: HttpResponse = { status: 503, body: '{}' };
 
 /**
- * Renews workers' leases on behalf of a leader that can't be reached, and starts no task. Its authority is the term that
- * it read in the state store a moment ago. Each node is recorded there as delegated before its first response, so that
- * the leader never takes its lease for expired (docs/design.md argues why that is safe).
+ * Renews workers' leases on behalf of a leader that can't be reached, and starts no task. Its authority is the term
+ * that it read from the state store a moment ago. Each node is recorded there as delegated before its first response,
+ * so that the leader never considers its lease expired (docs/design.md explains why that is safe).
  */
 export class LeaseRenewalProxy extends Actor<Message> {
-  /** Nodes whose leases were delegated to this controller, and the term of the delegation. */
+  /** The terms in which leases were delegated to this controller, by node name. */
   private readonly delegatedTerms = new Map<string, number>();
   private readonly awaitingDelegation: PendingHeartbeat[] = [];
-  private isWriting = false;
+  private isWritingDelegation = false;
   private batchCount = 0;
-  /** Steady ms since when the proxy is not needed; Infinity: it is, or nothing is delegated. */
+  /**
+   * Steady time in milliseconds since when the proxy has not been needed. Infinity if it is needed or no lease is
+   * delegated.
+   */
   private idleSinceMs = Infinity;
-  /** Revision of the leader's key seen last, and the steady ms at which it was first seen. */
+  /** The latest revision of the leader key, and the steady time in milliseconds at which it was first seen. */
   private leaderRevision: WireInt | undefined;
   private leaderFirstSeenMs = -Infinity;
 
-  constructor(private readonly deps: LeaseRenewalProxyDependencies) {
-    super(deps.log);
+  constructor(private readonly dependencies: LeaseRenewalProxyDependencies) {
+    super(dependencies.log);
   }
 
-  /** Starts the periodic check whether delegated leases can go back to the leader; it never ends. */
+  /** Starts the periodic check whether delegated leases can go back to the leader. The check never stops. */
   start(): void {
     const check = (): void => {
       this.send({ kind: 'check' });
-      this.deps.clock.after(LEASE_PROXY_CHECK_INTERVAL_MS, check);
+      this.dependencies.clock.after(LEASE_PROXY_CHECK_INTERVAL_MS, check);
     };
     check();
   }
 
-  /** Whether heartbeats should come here: another controller leads by the state store, but is not heard from. */
+  /**
+   * Whether this controller should handle heartbeats, because another controller leads according to the state store
+   * but no message from it arrives.
+   */
   shouldRenewLeases(): boolean {
     const leader = this.knownLeader();
-    if (!leader || leader.member === this.deps.member) return false;
-    // The host of a leader that refuses connections is up: the workers reach it themselves.
-    if (this.deps.refusesConnections(leader.member)) return false;
+    if (!leader || leader.member === this.dependencies.member) return false;
+    // If the leader's host refuses connections, it is up, and the workers can reach the leader themselves.
+    if (this.dependencies.refusesConnections(leader.member)) return false;
     if (leader.revision !== this.leaderRevision) {
       this.leaderRevision = leader.revision;
-      this.leaderFirstSeenMs = this.deps.clock.steadyMs();
+      this.leaderFirstSeenMs = this.dependencies.clock.steadyMs();
     }
-    // A new leader, or the leader as a restarted process knows it, has had no time yet to be heard from.
-    const lastContactMs = Math.max(this.deps.lastContactMs(leader.member), this.leaderFirstSeenMs);
-    return this.deps.clock.steadyMs() - lastContactMs > LEASE_PROXY_ACTIVATION_MS;
+    // A new leader has had no time yet to send a message. After a restart of this process the same holds for a leader
+    // that has led for longer.
+    const lastContactMs = Math.max(this.dependencies.lastContactMs(leader.member), this.leaderFirstSeenMs);
+    return this.dependencies.clock.steadyMs() - lastContactMs > LEASE_PROXY_ACTIVATION_MS;
   }
 
   protected receive(message: Message): void {
     switch (message.kind) {
       case 'heartbeat':
-        return this.verify(message);
+        return this.readStateFor(message);
       case 'stateRead':
-        return this.onStateRead(message);
+        return this.handleStateRead(message);
       case 'delegationWritten':
-        return this.onDelegationWritten(message);
+        return this.handleDelegationWritten(message);
       case 'check':
         return this.releaseIfIdle();
       default:
@@ -136,52 +145,55 @@
   }
 
   private knownLeader(): KnownLeader | undefined {
-    const row = this.deps.replica.get(LEADER_KEY);
+    const row = this.dependencies.replica.get(LEADER_KEY);
     const record = decodeLeader(row?.value);
     return row && record && { member: record.member, term: record.term, revision: row.modRevision };
   }
 
-  /** Reads the state store, so that the response rests on the leader and the nodes that it holds now. */
-  private verify({ heartbeat, respond }: PendingHeartbeat): void {
-    const readMs = this.deps.clock.steadyMs();
-    this.deps.replica.linearizableRead().then(
+  /** Reads the state store, so that the response relies on the leader and the nodes that are recorded now. */
+  private readStateFor({ heartbeat, respond }: PendingHeartbeat): void {
+    const readMs = this.dependencies.clock.steadyMs();
+    this.dependencies.replica.linearizableRead().then(
       () => this.send({ kind: 'stateRead', heartbeat, respond, readMs }),
-      () => respond(NOT_ENTITLED),
+      () => respond(NOT_ENTITLED_RESPONSE),
     );
   }
 
-  private onStateRead(verified: VerifiedHeartbeat): void {
+  private handleStateRead(verified: VerifiedHeartbeat): void {
     const { heartbeat, respond } = verified;
     const leader = this.knownLeader();
-    if (!leader || !this.mayRenew(heartbeat, leader)) return respond(NOT_ENTITLED);
-    if (this.delegatedTerms.get(heartbeat.node) === leader.term) return this.renew(verified);
+    if (!leader || !this.mayRenewLease(heartbeat, leader)) return respond(NOT_ENTITLED_RESPONSE);
+    if (this.delegatedTerms.get(heartbeat.node) === leader.term) return this.renewLease(verified);
     this.awaitingDelegation.push({ heartbeat, respond });
     this.writeDelegation();
   }
 
-  /** A node without a record of the leader has no task whose lease could be renewed. */
-  private mayRenew(heartbeat: Heartbeat, leader: KnownLeader): boolean {
+  /** Whether the worker's lease may be renewed. A node that no leader has recorded has no task that needs a lease. */
+  private mayRenewLease(heartbeat: Heartbeat, leader: KnownLeader): boolean {
     return (
-      this.shouldRenewLeases() && heartbeat.fencingToken <= leader.term && this.isRecorded(heartbeat.node)
+      this.shouldRenewLeases() && heartbeat.fencingToken <= leader.term && this.isNodeRecorded(heartbeat.node)
     );
   }
 
-  private isRecorded(node: string): boolean {
-    for (const row of this.deps.replica.listPrefix(NODE_GROUPS_PREFIX))
+  private isNodeRecorded(node: string): boolean {
+    for (const row of this.dependencies.replica.listPrefix(NODE_GROUPS_PREFIX))
       if (nodeGroupContains(row.value, node)) return true;
     return false;
   }
 
-  /** One write at a time, for all nodes that came meanwhile: in a partition hundreds come at once. */
+  /**
+   * Delegates the leases of the waiting nodes, with one write at a time. The nodes that arrive during a write share the
+   * next one, because hundreds of nodes arrive at once in a partition.
+   */
   private writeDelegation(): void {
-    if (this.isWriting || this.awaitingDelegation.length === 0) return;
+    if (this.isWritingDelegation || this.awaitingDelegation.length === 0) return;
     const leader = this.knownLeader();
     const batch = this.takeBatch();
     if (!leader) {
-      for (const { respond } of batch) respond(NOT_ENTITLED);
+      for (const { respond } of batch) respond(NOT_ENTITLED_RESPONSE);
       return;
     }
-    this.isWriting = true;
+    this.isWritingDelegation = true;
     const { term } = leader;
     void this.commitDelegation(batch, leader).then(({ outcome }) => {
       this.send({ kind: 'delegationWritten', batch, term, isCommitted: outcome === 'applied' });
@@ -189,18 +201,21 @@
   }
 
   private takeBatch(): PendingHeartbeat[] {
-    const fitting = Math.floor(this.deps.valueBytes / MAX_NODE_NAME_BYTES) - 1;
-    return this.awaitingDelegation.splice(0, Math.max(1, Math.min(DELEGATED_LEASES_PER_WRITE, fitting)));
+    const maxNodesPerValue = Math.floor(this.dependencies.valueBytes / MAX_NODE_NAME_BYTES) - 1;
+    return this.awaitingDelegation.splice(
+      0,
+      Math.max(1, Math.min(DELEGATED_LEASES_PER_WRITE, maxNodesPerValue)),
+    );
   }
 
   private commitDelegation(
     batch: readonly PendingHeartbeat[],
     { term, revision }: KnownLeader,
   ): Promise<CommitResult> {
-    const { replica, batcher, member, log } = this.deps;
+    const { replica, batcher, member, log } = this.dependencies;
     const key = delegatedLeasesKey(member, `${term}-${++this.batchCount}`);
     const nodes = batch.map(({ heartbeat }) => heartbeat.node);
-    log.info({ nodes, term }, 'leases delegated during partition');
+    log.info({ nodes, term }, 'lease delegation during partition started');
     const conditions = [
       { key: LEADER_KEY, modRevision: revision },
       { key, modRevision: replica.get(key)?.modRevision ?? 0 },
@@ -209,56 +224,60 @@
     return batcher.commit(conditions, operations, LEASE_PROXY_READ_VALIDITY_MS);
   }
 
-  private onDelegationWritten({ batch, term, isCommitted }: DelegationResult): void {
-    this.isWriting = false;
+  private handleDelegationWritten({ batch, term, isCommitted }: DelegationResult): void {
+    this.isWritingDelegation = false;
     for (const pending of batch) {
       if (isCommitted) {
         this.delegatedTerms.set(pending.heartbeat.node, term);
-        // The write may have taken long: the response rests on a read of its own.
-        this.verify(pending);
+        // The write may have taken a long time, so the response relies on a new read of the state store.
+        this.readStateFor(pending);
       } else {
-        pending.respond(NOT_ENTITLED);
+        pending.respond(NOT_ENTITLED_RESPONSE);
       }
     }
     this.writeDelegation();
   }
 
-  private renew({ heartbeat, respond, readMs }: VerifiedHeartbeat): void {
+  private renewLease({ heartbeat, respond, readMs }: VerifiedHeartbeat): void {
     const term = this.delegatedTerms.get(heartbeat.node);
-    // The tasks of a cancelled job must end in time also where the leader can't reach them.
-    const commands = stopCommandsForEndedJobs(heartbeat, this.deps.replica);
-    // Checked last: what was read in the state store is valid for a moment only.
-    const isExpired = this.deps.clock.steadyMs() - readMs > LEASE_PROXY_READ_VALIDITY_MS;
-    if (isExpired || term === undefined || this.knownLeader()?.term !== term) respond(NOT_ENTITLED);
+    // The tasks of a cancelled job must end in time even if the leader can't reach them.
+    const commands = createStopCommandsForEndedJobs(heartbeat, this.dependencies.replica);
+    // This is checked last, because what was read from the state store is valid only for a moment.
+    const isExpired = this.dependencies.clock.steadyMs() - readMs > LEASE_PROXY_READ_VALIDITY_MS;
+    if (isExpired || term === undefined || this.knownLeader()?.term !== term) respond(NOT_ENTITLED_RESPONSE);
     else respond({ status: 200, body: formatJson(encodeCommands(term, commands)) });
   }
 
-  /** Gives the leases back once the leader is heard from again and no response can be under way. */
+  /** Gives the leases back once messages from the leader arrive again and no response can be in flight. */
   private releaseIfIdle(): void {
-    const nowMs = this.deps.clock.steadyMs();
-    const records = this.ownRecords();
-    // The records count too: a write whose outcome is unknown may be applied late.
-    const isDelegated = this.delegatedTerms.size > 0 || records.length > 0;
-    if (!isDelegated || this.shouldRenewLeases()) {
+    const nowMs = this.dependencies.clock.steadyMs();
+    const ownRecords = this.listOwnRecords();
+    // The records count too, because a write whose outcome is unknown may be applied late.
+    const hasDelegatedLeases = this.delegatedTerms.size > 0 || ownRecords.length > 0;
+    if (!hasDelegatedLeases || this.shouldRenewLeases()) {
       this.idleSinceMs = Infinity;
       return;
     }
     this.idleSinceMs = Math.min(this.idleSinceMs, nowMs);
     if (nowMs - this.idleSinceMs <= 2 * LEASE_PROXY_READ_VALIDITY_MS) return;
     this.delegatedTerms.clear();
-    for (const { key, modRevision } of records) this.deleteRecord(key, modRevision);
+    for (const { key, modRevision } of ownRecords) this.deleteRecord(key, modRevision);
   }
 
-  private ownRecords(): KeyValue[] {
-    const ownPrefix = delegatedLeasesKey(this.deps.member, '');
-    return [...this.deps.replica.listPrefix(DELEGATED_LEASES_PREFIX)].filter((row) =>
+  private listOwnRecords(): KeyValue[] {
+    const ownPrefix = delegatedLeasesKey(this.dependencies.member, '');
+    return [...this.dependencies.replica.listPrefix(DELEGATED_LEASES_PREFIX)].filter((row) =>
       row.key.startsWith(ownPrefix),
     );
   }
 
-  /** An outcome is not waited for: a record that stays is deleted by a later check. */
+  /** Deletes a record without waiting for the outcome. A record that remains is deleted by a later check. */
   private deleteRecord(key: string, modRevision: WireInt): void {
     const operations = [{ key, value: undefined }];
-    void this.deps.batcher.commit([{ key, modRevision }], operations, 10 * LEASE_PROXY_READ_VALIDITY_MS);
+    void this.dependencies.batcher.commit(
+      [{ key, modRevision }],
+      operations,
+      10 * LEASE_PROXY_READ_VALIDITY_MS,
+    );
   }
 }
--- a/src/workers/relay-redirector.ts
+++ b/src/workers/relay-redirector.ts
@@ -1,4 +1,4 @@
-/** Moves heartbeat traffic off the leader, to the other controllers of its zone. */
+/** Moves heartbeat traffic from the leader to the other controllers of its zone. */
 import {
   MIN_RELAYS_FOR_REDIRECT,
   REDIRECT_AFTER_TERM_START_MS,
@@ -6,39 +6,40 @@
 } from '../constants.js';
 
 /**
- * Decides which workers the leader redirects to a relay, so that it holds few connections: it makes all decisions, and
- * must not be the first to run short of processor time. A worker that comes back is served for a while, as it may reach
- * no other controller.
+ * Decides which workers the leader redirects to a relay, so that the leader holds few connections. The leader makes all
+ * decisions and must not be the first controller to run short of processor time. A worker that comes back is served for
+ * a while, because it may be unable to reach another controller.
  */
 export class RelayRedirector {
-  /** Names of the nodes whose workers were redirected in the current period, and in the one before it. */
-  private redirected = new Set<string>();
-  private redirectedBefore = new Set<string>();
+  /** Names of the nodes whose workers were redirected in the current period, and in the previous one. */
+  private redirectedInCurrentPeriod = new Set<string>();
+  private redirectedInPreviousPeriod = new Set<string>();
   private periodStartMs: number;
 
-  /** `termStartMs`: steady ms at which this controller became the leader. */
+  /** `termStartMs` is the steady time in milliseconds at which this controller became the leader. */
   constructor(private readonly termStartMs: number) {
     this.periodStartMs = termStartMs;
   }
 
   /**
-   * Whether to redirect the worker of `node` now, at steady ms `nowMs`, where `relayCount` other controllers of its zone
-   * relay heartbeats. If so, it is remembered, and the worker not redirected again for a period.
+   * Returns whether to redirect the worker of `node` now. If so, the worker is not redirected again for a period.
+   * `relayCount` is the number of other controllers in its zone that relay heartbeats, and `nowMs` the steady time in
+   * milliseconds.
    */
   tryRedirect(node: string, relayCount: number, nowMs: number): boolean {
-    // Right after a change of leader the workers' leases are close to their expiry, and a redirect costs time.
+    // Right after a change of leader the workers' leases are close to expiry, and a redirect costs time.
     if (nowMs - this.termStartMs < REDIRECT_AFTER_TERM_START_MS) return false;
     if (relayCount < MIN_RELAYS_FOR_REDIRECT) return false;
     this.startPeriodIfDue(nowMs);
-    if (this.redirected.has(node) || this.redirectedBefore.has(node)) return false;
-    this.redirected.add(node);
+    if (this.redirectedInCurrentPeriod.has(node) || this.redirectedInPreviousPeriod.has(node)) return false;
+    this.redirectedInCurrentPeriod.add(node);
     return true;
   }
 
   private startPeriodIfDue(nowMs: number): void {
     if (nowMs - this.periodStartMs <= REDIRECT_REPEAT_INTERVAL_MS) return;
-    this.redirectedBefore = this.redirected;
-    this.redirected = new Set();
+    this.redirectedInPreviousPeriod = this.redirectedInCurrentPeriod;
+    this.redirectedInCurrentPeriod = new Set();
     this.periodStartMs = nowMs;
   }
 }
--- a/src/workers/stop-commands.ts
+++ b/src/workers/stop-commands.ts
@@ -1,13 +1,13 @@
-/** Commands that end the tasks of jobs that are over, wherever a heartbeat shows one. */
+/** Creates the commands that stop tasks of ended jobs if a heartbeat lists them. */
 import type { Heartbeat, WorkerCommand } from '../cluster/worker-messages.js';
 import type { StateReplica } from '../state/state-replica.js';
 import { decodeJob, jobKey } from '../state/records.js';
 
 /**
- * Commands that stop, without a grace period, each task of the heartbeat whose job is done or cancelled by the replica.
- * A job that the replica does not hold counts as open.
+ * Creates a stop command without a grace period for each task of the heartbeat whose job is done or cancelled
+ * according to the replica. A job that the replica does not hold counts as open.
  */
-export function stopCommandsForEndedJobs(
+export function createStopCommandsForEndedJobs(
   heartbeat: Heartbeat,
   replica: Pick<StateReplica, 'get'>,
 ): WorkerCommand[] {
--- a/test/api/admission.test.ts
+++ b/test/api/admission.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { rejectionReason } from '../../src/api/admission.js';
+import { findRejectionReason } from '../../src/api/admission.js';
 import type { JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
 import { LARGE, RED, SMALL } from '../support/scheduling-fixtures.js';
@@ -19,5 +19,5 @@
     [{ tasks: 10, kind: 'service' }, undefined],
   ];
   for (const [fields, reason] of cases)
-    assert.equal(rejectionReason(jobSpec(fields), [SMALL, LARGE], quotas), reason);
+    assert.equal(findRejectionReason(jobSpec(fields), [SMALL, LARGE], quotas), reason);
 });
--- a/test/autoscaler/headroom.test.ts
+++ b/test/autoscaler/headroom.test.ts
@@ -25,6 +25,6 @@
   ];
   for (const [recentJobs, withinS, count] of cases) {
     const wanted = objectives.map((each) => ({ ...each, withinS }));
-    assert.equal(planHeadroom(wanted, recentJobs, [SMALL], now)[0]?.count, count);
+    assert.equal(planHeadroom(wanted, recentJobs, [SMALL], now)[0]?.taskCount, count);
   }
 });
--- a/test/autoscaler/scale-out-planner.test.ts
+++ b/test/autoscaler/scale-out-planner.test.ts
@@ -16,7 +16,7 @@
   ): CapacityDemand => ({
     spec: jobSpec({ tasks: count, ...fields }),
     expectedRunTimeS: 13,
-    count,
+    taskCount: count,
     allocationsPerZone: new Map(),
     mayUseOnDemand: true,
     avoidsSpot: false,
@@ -31,10 +31,10 @@
     zone: 'a',
     spot: false,
     free: { cpus: 4, accelerators: 0, memGb: 16 },
-    readyS: 10,
-    occupied: false,
+    readyInS: 10,
+    isOccupied: false,
   };
-  const completing = { ...booting, free: { cpus: 2, accelerators: 0, memGb: 4 }, occupied: true };
+  const completing = { ...booting, free: { cpus: 2, accelerators: 0, memGb: 4 }, isOccupied: true };
   const cases: [
     name: string,
     demands: CapacityDemand[],
@@ -107,7 +107,7 @@
   ];
   for (const [name, demands, incoming, isUnavailable, expected] of cases) {
     const availability = { instanceTypes: [SMALL, LARGE], isUnavailable };
-    const { plans } = planScaleOut({ demands, incoming, availability });
+    const { plans } = planScaleOut({ demands, incomingCapacity: incoming, availability });
     assert.deepEqual(
       plans.map(({ offering, count }) => `${offering.type}/${kindOf(offering)}*${count}`),
       expected,
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -100,7 +100,7 @@
   clusterState.markAwaitingCommands(node);
   await sendPending(20);
   assert.equal(bodies.length, 1);
-  const repeated = dispatcher.commandsForHeartbeat(node, 3, 10);
+  const repeated = dispatcher.prepareCommandsForHeartbeat(node, 3, 10);
   assert.deepEqual(
     repeated.map(({ kind }) => kind),
     ['start'],
