--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -276,7 +276,7 @@
     const page = decodeInstanceList(body);
     const instances = [...call.instances, ...page.instances];
     const lastInstance = page.instances.at(-1);
-    if (page.hasMore && lastInstance) {
+    if (page.more && lastInstance) {
       this.nextPage = { ...call, afterName: lastInstance.name, instances, pageCount: call.pageCount + 1 };
       return;
     }
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -27,7 +27,7 @@
 export interface InstancePage {
   readonly instances: CloudInstance[];
   /** Whether another page follows. */
-  readonly hasMore: boolean;
+  readonly more: boolean;
 }
 
 /** Thrown if the cloud responds with a body that does not have the expected form. */
@@ -77,7 +77,7 @@
 export function decodeInstanceList(text: string): InstancePage {
   const body = parseObject(text);
   const list = Array.isArray(body.hearths) ? body.hearths : [];
-  return { instances: list.filter(isObject).map(decodeInstance), hasMore: body.more === true };
+  return { instances: list.filter(isObject).map(decodeInstance), more: body.more === true };
 }
 
 /**
--- a/src/autoscaler/incoming-capacity.ts
+++ b/src/autoscaler/incoming-capacity.ts
@@ -63,9 +63,8 @@
       this.addNodeCapacity(node, nowMs, incoming);
     for (const { offering, count } of pendingLaunches) {
       const free = this.dependencies.capacityOf(offering.type);
-      const readyS = this.getBootTimeS(offering.type) + NODE_START_OVERHEAD_S;
-      for (let i = 0; i < count; i++)
-        incoming.push({ ...offering, free, readyInS: readyS, isOccupied: false });
+      const readyInS = this.getBootTimeS(offering.type) + NODE_START_OVERHEAD_S;
+      for (let i = 0; i < count; i++) incoming.push({ ...offering, free, readyInS, isOccupied: false });
     }
     return incoming;
   }
@@ -78,13 +77,13 @@
       incoming.push({ type, zone, spot, free: capacity, readyInS: 1, isOccupied: false });
     } else if (nodeHealth.isBooting(node)) {
       const remainingBootS = Math.max(1, this.getBootTimeS(type) - (nowMs - node.launchedMs) / 1000);
-      const readyS = remainingBootS + NODE_START_OVERHEAD_S;
-      incoming.push({ type, zone, spot, free: capacity, readyInS: readyS, isOccupied: false });
+      const readyInS = remainingBootS + NODE_START_OVERHEAD_S;
+      incoming.push({ type, zone, spot, free: capacity, readyInS, isOccupied: false });
     } else if (nodeHealth.isSchedulable(node, nowMs)) {
       for (const attempt of node.attempts.values()) {
-        const readyS = remainingRunS(attempt, nowMs);
-        if (readyS < Infinity)
-          incoming.push({ type, zone, spot, free: attempt.resources, readyInS: readyS, isOccupied: true });
+        const readyInS = remainingRunS(attempt, nowMs);
+        if (readyInS < Infinity)
+          incoming.push({ type, zone, spot, free: attempt.resources, readyInS, isOccupied: true });
       }
     }
   }
