--- a/test/autoscaler/cloud-client.test.ts
+++ b/test/autoscaler/cloud-client.test.ts
@@ -4,14 +4,15 @@
 import { CloudClient, leaderCloudRates } from '../../src/autoscaler/cloud-client.js';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 
-test('the cloud is not called after a pause in which the authority ended', async () => {
+// Guards against calls after a pause of the process in which the authority of the leader ended.
+test('the cloud is not called while the leader has no authority', async () => {
   const clock = new SimulatedClock();
   let hasAuthority = true;
-  const requested: string[] = [];
+  const requestedTargets: string[] = [];
   const cloud = new CloudClient({
     caller: {
       call: (_address, method, target) => {
-        requested.push(`${method} ${target}`);
+        requestedTargets.push(`${method} ${target}`);
         return Promise.resolve({ status: 503, body: '{}' });
       },
     },
@@ -23,20 +24,20 @@
     log: pino({ level: 'silent' }),
     onFailure: () => undefined,
   });
-  // More than the rate allows at once, so that some of it waits.
+  // These are more requests than the rate allows at once, so some of them wait.
   for (let i = 0; i < 5; i++)
     cloud.send({
       kind: 'launch',
       request: { name: `r-${i}`, offering: { type: 'm', zone: 'z', spot: false }, count: 1 },
     });
   await clock.runUntil(100);
-  const before = requested.length;
-  assert.ok(before > 0 && before < 5, `${before} calls`);
+  const callCountBefore = requestedTargets.length;
+  assert.ok(callCountBefore > 0 && callCountBefore < 5, `${callCountBefore} calls`);
   hasAuthority = false;
   cloud.send({ kind: 'terminate', names: ['m-1'] });
   await clock.runUntil(20_000);
-  assert.equal(requested.length, before);
+  assert.equal(requestedTargets.length, callCountBefore);
   hasAuthority = true;
   await clock.runUntil(40_000);
-  assert.ok(requested.includes('POST /hosts/return'));
+  assert.ok(requestedTargets.includes('POST /hosts/return'));
 });
--- a/test/autoscaler/cloud-codec.test.ts
+++ b/test/autoscaler/cloud-codec.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { decodeCatalog, MalformedCloudResponseError } from '../../src/autoscaler/cloud-codec.js';
 
-test('a response of another form is refused, with what was expected of it', () => {
+test('a malformed cloud response is rejected with an error that names the expected form', () => {
   const cases: [body: string, expected: string, hasCause: boolean][] = [
     ['{', 'JSON', true],
     ['[]', 'an object', false],
--- a/test/autoscaler/headroom.test.ts
+++ b/test/autoscaler/headroom.test.ts
@@ -4,27 +4,41 @@
 import { jobSpec } from '../fixtures.js';
 import { SMALL } from '../support/scheduling-fixtures.js';
 
-test('headroom is what is expected while a node boots, for classes that must start sooner', () => {
-  const service = (tasks: number, acceptedMs: number, jobClass = 'live') => ({
+test('headroom covers the tasks that are expected while a node boots, for job classes that must start sooner', () => {
+  const createService = (tasks: number, acceptedMs: number, jobClass = 'live') => ({
     spec: jobSpec({ kind: 'service', jobClass, tasks }),
     acceptedMs,
   });
-  const now = 1_000_000;
+  const nowMs = 1_000_000;
   const objectives = [{ jobClass: 'live', withinS: 3 }];
-  const cases: [recentJobs: ReturnType<typeof service>[], withinS: number, count: number | undefined][] = [
+  const cases: [
+    recentJobs: ReturnType<typeof createService>[],
+    withinS: number,
+    count: number | undefined,
+  ][] = [
     [[], 3, undefined],
-    [[service(8, 0, 'other')], 3, undefined],
-    // At least for one average job; what came long ago only counts for the average.
-    [[service(4, 0), service(8, 0)], 3, 6],
-    // 30 tasks in the last 3 minutes, a node takes 15 s to boot and 8 s more: 30 * 23 / 180 * 1.5.
-    [[service(5, 0), service(30, now - 1000), service(1, 0), service(1, 0), service(1, 0)], 3, 8],
-    // A first wave does not come again: three average jobs at the most.
-    [Array.from({ length: 60 }, () => service(4, now - 1000)), 3, 12],
-    // Time enough to boot a node.
-    [[service(4, 0)], 60, undefined],
+    [[createService(8, 0, 'other')], 3, undefined],
+    // The headroom is enough for one average job at least. Old jobs count only for the average.
+    [[createService(4, 0), createService(8, 0)], 3, 6],
+    // 30 tasks arrived in the last 3 minutes, and a node takes 15 s to boot and 8 s more: 30 * 23 / 180 * 1.5.
+    [
+      [
+        createService(5, 0),
+        createService(30, nowMs - 1000),
+        createService(1, 0),
+        createService(1, 0),
+        createService(1, 0),
+      ],
+      3,
+      8,
+    ],
+    // The first wave of arrivals does not repeat, so the headroom is at most three average jobs.
+    [Array.from({ length: 60 }, () => createService(4, nowMs - 1000)), 3, 12],
+    // There is enough time to boot a node.
+    [[createService(4, 0)], 60, undefined],
   ];
   for (const [recentJobs, withinS, count] of cases) {
-    const wanted = objectives.map((each) => ({ ...each, withinS }));
-    assert.equal(planHeadroom(wanted, recentJobs, [SMALL], now)[0]?.taskCount, count);
+    const adjustedObjectives = objectives.map((objective) => ({ ...objective, withinS }));
+    assert.equal(planHeadroom(adjustedObjectives, recentJobs, [SMALL], nowMs)[0]?.taskCount, count);
   }
 });
--- a/test/autoscaler/scale-out-planner.test.ts
+++ b/test/autoscaler/scale-out-planner.test.ts
@@ -6,13 +6,13 @@
 import { jobSpec } from '../fixtures.js';
 import { LARGE, SMALL } from '../support/scheduling-fixtures.js';
 
-const kindOf = ({ spot }: { spot: boolean }): string => (spot ? 'spot' : 'on demand');
+const formatKind = ({ spot }: { spot: boolean }): string => (spot ? 'spot' : 'on demand');
 
-test('instances are launched for waiting tasks: the cheapest that are ready in time', () => {
-  const demand = (
+test('the cheapest instances that are ready in time are launched for waiting tasks', () => {
+  const createDemand = (
     fields: Partial<JobSpec>,
     count: number,
-    more: Partial<CapacityDemand> = {},
+    overrides: Partial<CapacityDemand> = {},
   ): CapacityDemand => ({
     spec: jobSpec({ tasks: count, ...fields }),
     expectedRunTimeS: 13,
@@ -23,10 +23,10 @@
     waitedS: 0,
     timeToDeadlineS: Infinity,
     timeToStartObjectiveS: Infinity,
-    ...more,
+    ...overrides,
   });
-  const allAvailable = (): boolean => false;
-  const booting = {
+  const noneUnavailable = (): boolean => false;
+  const bootingCapacity = {
     type: 'small',
     zone: 'a',
     spot: false,
@@ -34,72 +34,106 @@
     readyInS: 10,
     isOccupied: false,
   };
-  const completing = { ...booting, free: { cpus: 2, accelerators: 0, memGb: 4 }, isOccupied: true };
+  const occupiedCapacity = {
+    ...bootingCapacity,
+    free: { cpus: 2, accelerators: 0, memGb: 4 },
+    isOccupied: true,
+  };
   const cases: [
     name: string,
     demands: CapacityDemand[],
-    incoming: (typeof booting)[],
+    incoming: (typeof bootingCapacity)[],
     isUnavailable: (offering: { spot: boolean; type: string }) => boolean,
     expected: string[],
   ][] = [
-    ['one task: the cheapest instance', [demand({}, 1)], [], allAvailable, ['small/on demand*1']],
-    ['many tasks: the cheapest per task', [demand({}, 8)], [], allAvailable, ['large/on demand*1']],
-    ['spot where the job allows it', [demand({ spot: true }, 8)], [], allAvailable, ['large/spot*1']],
     [
-      'only spot may be launched, and none is available',
-      [demand({ spot: true }, 8, { mayUseOnDemand: false })],
+      'one task gets the cheapest instance',
+      [createDemand({}, 1)],
+      [],
+      noneUnavailable,
+      ['small/on demand*1'],
+    ],
+    [
+      'many tasks get the instance that is cheapest per task',
+      [createDemand({}, 8)],
+      [],
+      noneUnavailable,
+      ['large/on demand*1'],
+    ],
+    [
+      'a spot instance is launched if the job allows it',
+      [createDemand({ spot: true }, 8)],
+      [],
+      noneUnavailable,
+      ['large/spot*1'],
+    ],
+    [
+      'nothing is launched if only spot instances may be launched and none is available',
+      [createDemand({ spot: true }, 8, { mayUseOnDemand: false })],
       [],
       (offering) => offering.spot,
       [],
     ],
-    ['incoming capacity is counted', [demand({}, 2)], [booting], allAvailable, []],
-    ['and the rest is launched', [demand({}, 3)], [booting], allAvailable, ['small/on demand*1']],
-    ['a task completes in time', [demand({}, 1, { timeToDeadlineS: 40 })], [completing], allAvailable, []],
+    ['incoming capacity is used first', [createDemand({}, 2)], [bootingCapacity], noneUnavailable, []],
+    [
+      'an instance is launched for tasks beyond the incoming capacity',
+      [createDemand({}, 3)],
+      [bootingCapacity],
+      noneUnavailable,
+      ['small/on demand*1'],
+    ],
+    [
+      'a running task completes in time for the deadline',
+      [createDemand({}, 1, { timeToDeadlineS: 40 })],
+      [occupiedCapacity],
+      noneUnavailable,
+      [],
+    ],
     [
-      'a task completes in time for the start',
-      [demand({}, 1, { timeToStartObjectiveS: 12 })],
-      [completing],
-      allAvailable,
+      'a running task completes in time for the start objective',
+      [createDemand({}, 1, { timeToStartObjectiveS: 12 })],
+      [occupiedCapacity],
+      noneUnavailable,
       [],
     ],
     [
-      'a task completes too late for the start',
-      [demand({}, 1, { timeToStartObjectiveS: 8 })],
-      [completing],
-      allAvailable,
+      'a running task completes too late for the start objective',
+      [createDemand({}, 1, { timeToStartObjectiveS: 8 })],
+      [occupiedCapacity],
+      noneUnavailable,
       ['small/on demand*1'],
     ],
     [
-      'a task completes too late',
-      [demand({}, 1, { timeToDeadlineS: 20 })],
-      [completing],
-      allAvailable,
+      'a running task completes too late for the deadline',
+      [createDemand({}, 1, { timeToDeadlineS: 20 })],
+      [occupiedCapacity],
+      noneUnavailable,
       ['small/on demand*1'],
     ],
     [
-      'services do not wait for a task to complete',
-      [demand({ kind: 'service' }, 1)],
-      [completing],
-      allAvailable,
+      'services do not wait for a running task to complete',
+      [createDemand({ kind: 'service' }, 1)],
+      [occupiedCapacity],
+      noneUnavailable,
       ['small/on demand*1'],
     ],
     [
-      'in time for the deadline',
-      [demand({}, 8, { timeToDeadlineS: 40 })],
+      'instances that are ready in time for the deadline are launched',
+      [createDemand({}, 8, { timeToDeadlineS: 40 })],
       [],
-      allAvailable,
+      noneUnavailable,
       ['small/on demand*4'],
     ],
     [
-      'another type when one is unavailable',
-      [demand({}, 8)],
+      'another instance type is launched if one is unavailable',
+      [createDemand({}, 8)],
       [],
       (offering) => offering.type === 'large',
       ['small/on demand*4'],
     ],
     [
-      'spread over zones',
-      [demand({ zoneSpread: true }, 4)],
+      'tasks are spread over zones',
+      [createDemand({ zoneSpread: true }, 4)],
       [],
       (offering) => offering.type === 'large',
       ['small/on demand*1', 'small/on demand*1'],
@@ -109,7 +143,7 @@
     const availability = { instanceTypes: [SMALL, LARGE], isUnavailable };
     const { plans } = planScaleOut({ demands, incomingCapacity: incoming, availability });
     assert.deepEqual(
-      plans.map(({ offering, count }) => `${offering.type}/${kindOf(offering)}*${count}`),
+      plans.map(({ offering, count }) => `${offering.type}/${formatKind(offering)}*${count}`),
       expected,
       name,
     );
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -29,7 +29,7 @@
   return new Job<Attempt>({ uid: 'job-000001', record, spec, modRevision: 1, objectives: [] });
 }
 
-/** A node with one planned attempt; `respond` stands in for its worker. */
+/** Creates a dispatcher and a node with one planned attempt. `respond` simulates the worker of the node. */
 function setUp(respond: () => Promise<HttpResponse>) {
   const clusterState = new ClusterState({ exited: () => undefined, released: () => undefined });
   const description = { name: 'vm-1', address: 'a:1', type: 'small', zone: 'a', spot: false };
@@ -62,9 +62,9 @@
   return { clusterState, job, node, attempt, dispatcher, bodies, responses, sendPending };
 }
 
-test('a direct start: what the end of its call proves', async () => {
-  const reply = (status: number) => () => Promise.resolve({ status, body: HEARTBEAT });
-  const fail = (error: Error) => () => Promise.reject(error);
+test('the outcome of a direct call decides whether its start command counts as executed', async () => {
+  const respondWith = (status: number) => () => Promise.resolve({ status, body: HEARTBEAT });
+  const failWith = (error: Error) => () => Promise.reject(error);
   const cases: [
     name: string,
     respond: () => Promise<HttpResponse>,
@@ -72,13 +72,13 @@
     directStart: Attempt['directStart'],
     responses: string[],
   ][] = [
-    ['executed', reply(200), 'sent', 'none', ['vm-1']],
-    ['fenced', reply(409), 'planned', 'none', ['vm-1']],
-    ['malformed', reply(400), 'planned', 'none', []],
-    ['another status', reply(500), 'sent', 'lost', []],
-    ['not sent', fail(new CallError('unsent', 'refused')), 'planned', 'none', []],
-    ['no response', fail(new CallError('unclear', 'timeout')), 'sent', 'lost', []],
-    ['another error', fail(new TypeError('unexpected')), 'sent', 'lost', []],
+    ['executed', respondWith(200), 'sent', 'none', ['vm-1']],
+    ['fenced', respondWith(409), 'planned', 'none', ['vm-1']],
+    ['malformed', respondWith(400), 'planned', 'none', []],
+    ['another status', respondWith(500), 'sent', 'lost', []],
+    ['not sent', failWith(new CallError('unsent', 'refused')), 'planned', 'none', []],
+    ['no response', failWith(new CallError('unclear', 'timeout')), 'sent', 'lost', []],
+    ['another error', failWith(new TypeError('unexpected')), 'sent', 'lost', []],
   ];
   for (const [name, respond, state, directStart, responses] of cases) {
     const setup = setUp(respond);
@@ -90,46 +90,46 @@
   }
 });
 
-test('a lost start is not repeated by a direct call, and fenced by a new term once its job has ended', async () => {
+test('a lost start is not repeated by a direct call, and is fenced by a new term once its job has ended', async () => {
   const { clusterState, job, attempt, node, dispatcher, bodies, sendPending } = setUp(() =>
     Promise.reject(new CallError('unclear', 'timeout')),
   );
   await sendPending(10);
-  // A heartbeat did not list it: it is to be sent again, but not by a direct call.
+  // A heartbeat did not list the attempt, so its start has to be sent again, but not by a direct call.
   attempt.returnToPlanned();
   clusterState.markAwaitingCommands(node);
   await sendPending(20);
   assert.equal(bodies.length, 1);
-  const repeated = dispatcher.prepareCommandsForHeartbeat(node, 3, 10);
+  const repeatedCommands = dispatcher.prepareCommandsForHeartbeat(node, 3, 10);
   assert.deepEqual(
-    repeated.map(({ kind }) => kind),
+    repeatedCommands.map(({ kind }) => kind),
     ['start'],
   );
-  const lateMs = 10 + LOST_START_FENCING_DELAY_MS;
-  assert.equal(dispatcher.needsNewTerm(lateMs), false, 'the job is open');
+  const fencingDueMs = 10 + LOST_START_FENCING_DELAY_MS;
+  assert.equal(dispatcher.needsNewTerm(fencingDueMs), false, 'the job is still open');
   job.cancel();
-  assert.equal(dispatcher.needsNewTerm(lateMs - 1), false, 'its start may still be acknowledged');
-  assert.equal(dispatcher.needsNewTerm(lateMs), true);
+  assert.equal(dispatcher.needsNewTerm(fencingDueMs - 1), false, 'the start may still be acknowledged');
+  assert.equal(dispatcher.needsNewTerm(fencingDueMs), true);
   attempt.recordExit('stopped');
-  assert.equal(dispatcher.needsNewTerm(lateMs), false, 'it has exited');
+  assert.equal(dispatcher.needsNewTerm(fencingDueMs), false, 'the attempt has exited');
   assert.equal(node.attempts.size, 1);
 });
 
-test('a stop is repeated by direct calls at intervals, and at once when its grace period is shortened', async () => {
+test('a stop command is repeated by direct calls at intervals, and at once if its grace period is shortened', async () => {
   const { attempt, dispatcher, bodies, sendPending } = setUp(() =>
     Promise.resolve({ status: 200, body: HEARTBEAT }),
   );
   await sendPending(0);
   bodies.length = 0;
-  const stop = (gracePeriodS: number): string =>
+  const formatStopBody = (gracePeriodS: number): string =>
     `{"baton":3,"tenure":0,"orders":[{"verb":"stop","piece":"job-000001/0","try":7,"leewayS":${gracePeriodS}}]}`;
   dispatcher.stop(attempt, 30);
   const steps: [name: string, atMs: number, gracePeriodS: number, expected: string[]][] = [
-    ['first', 10, 30, [stop(30)]],
+    ['first', 10, 30, [formatStopBody(30)]],
     ['too early', 9 + STOP_RESEND_INTERVAL_MS, 30, []],
-    ['repeated', 10 + STOP_RESEND_INTERVAL_MS, 30, [stop(30)]],
+    ['repeated', 10 + STOP_RESEND_INTERVAL_MS, 30, [formatStopBody(30)]],
     ['a longer grace period changes nothing', 11 + STOP_RESEND_INTERVAL_MS, 60, []],
-    ['a shorter one is sent at once', 12 + STOP_RESEND_INTERVAL_MS, 0, [stop(0)]],
+    ['a shorter one is sent at once', 12 + STOP_RESEND_INTERVAL_MS, 0, [formatStopBody(0)]],
   ];
   for (const [name, atMs, gracePeriodS, expected] of steps) {
     bodies.length = 0;
@@ -139,7 +139,7 @@
   }
 });
 
-test('an attempt that was never sent is withdrawn when it is stopped', () => {
+test('an attempt whose start was never sent is withdrawn when it is stopped', () => {
   const { attempt, node, dispatcher } = setUp(() => assert.fail('nothing is sent'));
   dispatcher.stop(attempt, 30);
   assert.equal(node.attempts.size, 0);
--- a/test/workers/heartbeat-relay.test.ts
+++ b/test/workers/heartbeat-relay.test.ts
@@ -22,7 +22,7 @@
     isChannelFull: false,
   };
   const forwarded: { member: string; id: number }[] = [];
-  let deliver: (member: string, message: PeerMessage) => void = () => undefined;
+  let deliverPeerMessage: (member: string, message: PeerMessage) => void = () => undefined;
   const relay = new HeartbeatRelay({
     clock,
     log: pino({ level: 'silent' }),
@@ -33,7 +33,7 @@
         if (message.kind === 'relay') forwarded.push({ member, id: message.id });
         return true;
       },
-      onMessage: (listener) => (deliver = listener),
+      onMessage: (listener) => (deliverPeerMessage = listener),
     },
     maxPending: MAX_PENDING,
     leader: () => cluster.leader,
@@ -45,23 +45,23 @@
   });
   const responses: HttpResponse[] = [];
   const relayResponse = (id: number, body: string): void =>
-    deliver('c1', { kind: 'relayed', id, status: 200, body });
+    deliverPeerMessage('c1', { kind: 'relayed', id, status: 200, body });
   const sendHeartbeat = (): void =>
     relay.send({ kind: 'heartbeat', body: '{}', respond: (response) => responses.push(response) });
   sendHeartbeat();
   return { clock, cluster, forwarded, responses, relayResponse, sendHeartbeat };
 }
 
-test('a relayed heartbeat: at most one response, never one that the leader no longer counts on', async () => {
+test('a relayed heartbeat gets at most one response, and never one that is no longer valid for the leader', async () => {
   type Setup = ReturnType<typeof setUp>;
   const cases: [
     name: string,
-    acts: [atMs: number, act: (setup: Setup) => void][],
+    actions: [atMs: number, action: (setup: Setup) => void][],
     responses: [status: number, body: string][],
   ][] = [
-    ['response in time', [[100, (s) => s.relayResponse(s.forwarded[0]!.id, 'a')]], [[200, 'a']]],
+    ['the response arrives in time', [[100, (s) => s.relayResponse(s.forwarded[0]!.id, 'a')]], [[200, 'a']]],
     [
-      'response comes twice',
+      'the response arrives twice',
       [
         [100, (s) => s.relayResponse(s.forwarded[0]!.id, 'a')],
         [200, (s) => s.relayResponse(s.forwarded[0]!.id, 'b')],
@@ -69,13 +69,13 @@
       [[200, 'a']],
     ],
     [
-      'response too late',
+      'the response arrives too late',
       [[RELAY_RESPONSE_VALIDITY_MS + 1, (s) => s.relayResponse(s.forwarded[0]!.id, 'a')]],
       [[503, '{}']],
     ],
-    ['no response', [[RELAY_TIMEOUT_MS + 500, () => undefined]], [[503, '{}']]],
+    ['no response arrives', [[RELAY_TIMEOUT_MS + 500, () => undefined]], [[503, '{}']]],
     [
-      'leadership changes: the former leader’s response is not passed on',
+      'the leader changes, and the response of the former leader is not passed on',
       [
         [500, (s) => (s.cluster.leader = 'c2')],
         [900, (s) => s.relayResponse(s.forwarded[0]!.id, 'former')],
@@ -84,7 +84,7 @@
       [[200, 'new']],
     ],
     [
-      'no leader, then a lease renewal proxy',
+      'there is no leader, and then a lease renewal proxy',
       [
         [300, (s) => Object.assign(s.cluster, { leader: undefined, isProxyActive: true })],
         [RELAY_RESPONSE_VALIDITY_MS + 500, () => undefined],
@@ -100,11 +100,11 @@
       [[421, '{"steward":"c1"}']],
     ],
   ];
-  for (const [name, acts, expected] of cases) {
+  for (const [name, actions, expected] of cases) {
     const setup = setUp();
-    for (const [atMs, act] of acts) {
+    for (const [atMs, action] of actions) {
       await setup.clock.runUntil(atMs);
-      act(setup);
+      action(setup);
     }
     await setup.clock.runUntil(RELAY_TIMEOUT_MS + 2_000);
     assert.deepEqual(
@@ -115,24 +115,24 @@
   }
 });
 
-test('a response to a former process of the relay is passed on to no worker', async () => {
-  const former = setUp(() => 0.25);
-  const restarted = setUp(() => 0.75);
-  await former.clock.runUntil(10);
-  await restarted.clock.runUntil(10);
-  restarted.relayResponse(former.forwarded[0]!.id, 'meant for another worker');
-  await restarted.clock.runUntil(100);
-  assert.deepEqual(restarted.responses, []);
-  restarted.relayResponse(restarted.forwarded[0]!.id, 'meant for this one');
-  await restarted.clock.runUntil(200);
+test('a response to a request of a former relay process is not passed on to any worker', async () => {
+  const formerProcess = setUp(() => 0.25);
+  const restartedProcess = setUp(() => 0.75);
+  await formerProcess.clock.runUntil(10);
+  await restartedProcess.clock.runUntil(10);
+  restartedProcess.relayResponse(formerProcess.forwarded[0]!.id, 'meant for another worker');
+  await restartedProcess.clock.runUntil(100);
+  assert.deepEqual(restartedProcess.responses, []);
+  restartedProcess.relayResponse(restartedProcess.forwarded[0]!.id, 'meant for this one');
+  await restartedProcess.clock.runUntil(200);
   assert.deepEqual(
-    restarted.responses.map(({ body }) => body),
+    restartedProcess.responses.map(({ body }) => body),
     ['meant for this one'],
   );
 });
 
-// Each pending heartbeat holds a socket, and thousands come at once when all workers turn to one controller.
-test('heartbeats beyond the limit are refused at once, and accepted again when others have been answered', () => {
+// Each pending heartbeat holds a socket, and thousands arrive at once if all workers turn to one controller.
+test('heartbeats beyond the limit are rejected at once, and accepted again after others have been answered', () => {
   const { forwarded, responses, relayResponse, sendHeartbeat } = setUp();
   for (let i = 1; i < MAX_PENDING + 2; i++) sendHeartbeat();
   assert.deepEqual(
@@ -145,7 +145,7 @@
   assert.equal(responses.length, 3);
 });
 
-test('a heartbeat that did not fit into the channel is forwarded by the next review', async () => {
+test('a heartbeat that did not fit into the channel is forwarded at the next review', async () => {
   const { clock, cluster, forwarded, responses, relayResponse, sendHeartbeat } = setUp();
   cluster.isChannelFull = true;
   sendHeartbeat();
--- a/test/workers/lease-renewal-proxy.test.ts
+++ b/test/workers/lease-renewal-proxy.test.ts
@@ -6,7 +6,7 @@
 import { LEADER_KEY } from '../../src/state/records.js';
 import { LeaseRenewalProxy } from '../../src/workers/lease-renewal-proxy.js';
 
-test('leases are renewed by proxy only after the leader had time to be heard from (inc-1219)', async () => {
+test('leases are renewed by proxy only after the leader has had time to send a message (inc-1219)', async () => {
   const clock = new SimulatedClock();
   const cluster = { modRevision: 1, lastContactMs: -Infinity, refusesConnections: false, leader: 'c1' };
   const proxy = new LeaseRenewalProxy({
@@ -26,15 +26,20 @@
     refusesConnections: () => cluster.refusesConnections,
     lastContactMs: () => cluster.lastContactMs,
   });
-  const later = LEASE_PROXY_ACTIVATION_MS + 100;
+  const silenceMs = LEASE_PROXY_ACTIVATION_MS + 100;
   const steps: [name: string, afterMs: number, change: Partial<typeof cluster>, shouldRenew: boolean][] = [
     ['the process has just started', 10, {}, false],
-    ['no contact for long', later, {}, true],
-    ['contact', 10, { lastContactMs: later + 15 }, false],
-    ['no contact any more', later, {}, true],
+    ['no message from the leader for too long', silenceMs, {}, true],
+    ['a message from the leader', 10, { lastContactMs: silenceMs + 15 }, false],
+    ['no further message from the leader', silenceMs, {}, true],
     ['a new leader', 10, { modRevision: 2 }, false],
-    ['no contact with it either', later, {}, true],
-    ['its host refuses connections: no partition', 10, { refusesConnections: true }, false],
+    ['no message from the new leader either', silenceMs, {}, true],
+    [
+      'the host of the leader refuses connections, so there is no partition',
+      10,
+      { refusesConnections: true },
+      false,
+    ],
     ['this controller leads', 10, { refusesConnections: false, leader: 'c0' }, false],
   ];
   for (const [name, afterMs, change, shouldRenew] of steps) {
