--- a/packages/runtime/src/actor.ts
+++ b/packages/runtime/src/actor.ts
@@ -1,32 +1,32 @@
-/** Actors: objects that own their state and handle one message at a time. */
+/** A base class for actors, which own their state and handle one message at a time. */
 import type { Logger } from 'pino';
 
 /**
- * An actor owns its state; others speak to it by messages only. A message that arrives while another is being handled waits
- * in the mailbox, so a handler never sees its own state half changed.
+ * An actor owns its state, and other objects communicate with it only by messages. A message that arrives while another one
+ * is being handled waits in the mailbox, so a message handler never sees partially updated state.
  */
 export abstract class Actor<Message> {
   private readonly mailbox: Message[] = [];
   private isHandling = false;
   private hasStopped = false;
 
-  /** `onFailure`: called after a message could not be handled and the actor was stopped. */
+  /** Creates an actor. `onFailure` is called after a message handler threw an error and the actor was stopped. */
   protected constructor(
     protected readonly log: Logger,
     private readonly onFailure?: (error: unknown) => void,
   ) {}
 
-  /** Handles the message at once, or after those that wait. A stopped actor ignores it. Never throws. */
+  /** Handles the message immediately, or after the messages in the mailbox. A stopped actor ignores it. Never throws. */
   send(message: Message): void {
     if (this.hasStopped) return;
     this.mailbox.push(message);
     if (this.isHandling) return;
     this.isHandling = true;
     try {
-      this.handleWaiting();
+      this.drainMailbox();
     } catch (error) {
-      // One bad message must not end the process: the owner builds a new actor from the state store.
-      this.log.error({ err: error }, 'actor failed');
+      // An error in one handler must not terminate the process. The owner creates a new actor from the state store.
+      this.log.error({ err: error }, 'actor stopped after an error in its message handler');
       this.stop();
       this.onFailure?.(error);
     } finally {
@@ -34,22 +34,22 @@
     }
   }
 
-  /** Whether the actor was stopped, or failed. */
+  /** Whether the actor was stopped, by its owner or because of an error. */
   get isStopped(): boolean {
     return this.hasStopped;
   }
 
-  /** Drops the messages that wait, and ignores all later ones. */
+  /** Drops the messages in the mailbox and ignores all later messages. */
   stop(): void {
     this.hasStopped = true;
     this.mailbox.length = 0;
   }
 
-  /** Handles one message; an error that it throws stops the actor. */
+  /** Handles one message. An error that it throws stops the actor. */
   protected abstract receive(message: Message): void;
 
-  private handleWaiting(): void {
-    let next: Message | undefined;
-    while (!this.hasStopped && (next = this.mailbox.shift()) !== undefined) this.receive(next);
+  private drainMailbox(): void {
+    let message: Message | undefined;
+    while (!this.hasStopped && (message = this.mailbox.shift()) !== undefined) this.receive(message);
   }
 }
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,26 +1,26 @@
-/** Time as the service sees it; passed in, so that a simulation can run a day in a second. */
+/** The clock interface. Clocks are passed in as dependencies, so that a simulation can run a day in a second. */
 
-/** A source of time, and of timers. */
+/** A source of time and timers. */
 export interface Clock {
-  /** Milliseconds on the steady clock, from an arbitrary start. */
+  /** Returns the time of the steady (monotonic) clock in milliseconds, counted from an arbitrary start. */
   steadyMs(): number;
-  /** Milliseconds of the time of day since 1970; wrong by at most the bound in the settings. */
+  /** Returns the time of day in milliseconds since 1970. Its error is at most the bound in the settings. */
   wallMs(): number;
-  /** Calls `run` once after `ms` milliseconds; the result cancels that. */
-  after(ms: number, run: () => void): () => void;
+  /** Calls `callback` once after `delayMs` milliseconds. Returns a function that cancels the timer. */
+  after(delayMs: number, callback: () => void): () => void;
 }
 
 /** The clock of the running process. */
 export const systemClock: Clock = {
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
-  after(ms, run) {
-    const timer = setTimeout(run, Math.max(0, ms));
+  after(delayMs, callback) {
+    const timer = setTimeout(callback, Math.max(0, delayMs));
     return () => clearTimeout(timer);
   },
 };
 
-/** Resolves after `ms` milliseconds. */
-export function sleep(clock: Clock, ms: number): Promise<void> {
-  return new Promise((resolve) => clock.after(ms, resolve));
+/** Resolves after `durationMs` milliseconds. */
+export function sleep(clock: Clock, durationMs: number): Promise<void> {
+  return new Promise((resolve) => clock.after(durationMs, resolve));
 }
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** What every part of a controller builds on: actors with a mailbox, clocks that are passed in, rates and leases. */
+/** Building blocks of a controller: actors, clocks, rate limiters and lease authorities. */
 export { Actor } from './actor.js';
 export { PeriodicActor, type Tick } from './periodic-actor.js';
 export { sleep, systemClock, type Clock } from './clock.js';
--- a/packages/runtime/src/lease-authority.ts
+++ b/packages/runtime/src/lease-authority.ts
@@ -1,43 +1,50 @@
-/** How long a holder of a lease may act on it: the same arithmetic for every lease of the state store. */
+/** Computes how long the holder of a lease may act on it. All leases of the state store use the same rules. */
 
-/** Allowances of a `LeaseAuthority`. */
+/** Safety allowances of a `LeaseAuthority`. */
 export interface LeaseAuthorityOptions {
-  /** ms: kept back from the end for pauses between the check and what rests on it. */
+  /**
+   * Milliseconds by which the authority ends before the lease. They cover pauses between the check and the action that
+   * depends on it.
+   */
   readonly safetyMarginMs: number;
-  /** Ratio by which our steady clock may run against that of the granting side. */
+  /** Ratio by which the rates of the local steady clock and of the granting side's clock may differ. */
   readonly maxClockDriftRatio: number;
 }
 
 /**
- * Until when a lease that this process holds has certainly not expired. Pure: all times are passed in, as milliseconds of
- * our steady clock. A renewal counts from before it was requested, as the granting side's time began then at the earliest.
+ * Tracks until when a lease that this process holds has certainly not expired. The class reads no clock: all times are
+ * passed in, in milliseconds of the local steady clock. A renewal counts from the time just before it was requested, because
+ * the granting side cannot have started the lease any earlier.
  */
 export class LeaseAuthority {
   private validUntilMs = -Infinity;
 
-  /** `options`: the allowances for clocks and pauses. */
+  /** Starts without a valid lease. `options` contains the allowances for clock drift and pauses. */
   constructor(private readonly options: LeaseAuthorityOptions) {}
 
-  /** The lease was granted or renewed. This also revives an expired authority, as the lease itself lived on. */
-  renew(requestedMs: number, ttlMs: number): void {
-    const usableMs = ttlMs * (1 - this.options.maxClockDriftRatio);
-    this.validUntilMs = Math.max(this.validUntilMs, requestedMs + usableMs);
+  /**
+   * Records that the lease was granted or renewed. This also revives an expired authority, because the lease itself did not
+   * expire.
+   */
+  renew(requestedAtMs: number, ttlMs: number): void {
+    const usableTtlMs = ttlMs * (1 - this.options.maxClockDriftRatio);
+    this.validUntilMs = Math.max(this.validUntilMs, requestedAtMs + usableTtlMs);
   }
 
   /**
-   * Something else than the lease guarantees another `extensionMs`. It never revives an expired authority: in the gap
-   * another process could have held the lease, and the guarantee would say nothing of that.
+   * Extends the authority by a guarantee other than the lease, valid for `extensionMs` from the request. It never revives an
+   * expired authority: another process could have held the lease in the gap, and the guarantee does not rule that out.
    */
-  extend(requestedMs: number, extensionMs: number, nowMs: number): void {
-    if (nowMs < this.validUntilMs) this.renew(requestedMs, extensionMs);
+  extend(requestedAtMs: number, extensionMs: number, nowMs: number): void {
+    if (nowMs < this.validUntilMs) this.renew(requestedAtMs, extensionMs);
   }
 
-  /** The lease is given up, or known to have ended. */
+  /** Records that the lease was released or is known to have expired. */
   revoke(): void {
     this.validUntilMs = -Infinity;
   }
 
-  /** Whether the lease can be relied on; ask right before what rests on it. */
+  /** Whether the lease is certainly still held. Check this immediately before each action that depends on the lease. */
   isValid(nowMs: number): boolean {
     return nowMs < this.validUntilMs - this.options.safetyMarginMs;
   }
--- a/packages/runtime/src/periodic-actor.ts
+++ b/packages/runtime/src/periodic-actor.ts
@@ -1,18 +1,21 @@
-/** Actors that also act on the passing of time. */
+/** A base class for actors that also act at regular intervals. */
 import type { Logger } from 'pino';
 import { Actor } from './actor.js';
 import type { Clock } from './clock.js';
 
-/** Sent by a periodic actor to itself in each interval; a tick as in Raft's implementations, not a sequence number. */
+/**
+ * The message that a periodic actor sends to itself in each interval, like the tick of a Raft implementation. It is not a
+ * sequence number.
+ */
 export interface Tick {
   readonly kind: 'tick';
 }
 
-/** An actor that receives a tick at its start and then once in each interval, until it is stopped. */
+/** An actor that receives a tick when it starts and then once per interval until it is stopped. */
 export abstract class PeriodicActor<Message> extends Actor<Message | Tick> {
   private cancelTimer: () => void = () => undefined;
 
-  /** `intervalMs`: time between two ticks. `onFailure`: see `Actor`. */
+  /** Creates an actor that receives a tick every `intervalMs` milliseconds. For `onFailure`, see `Actor`. */
   protected constructor(
     private readonly clock: Clock,
     private readonly intervalMs: number,
@@ -22,13 +25,13 @@
     super(log, onFailure);
   }
 
-  /** Sends the first tick, and schedules the following ones. */
+  /** Sends the first tick and schedules the following ones. */
   start(): void {
     this.cancelTimer = this.clock.after(this.intervalMs, () => this.start());
     this.send({ kind: 'tick' });
   }
 
-  /** Stops the actor, and its ticks. */
+  /** Stops the actor and its timer. */
   override stop(): void {
     super.stop();
     this.cancelTimer();
--- a/packages/runtime/src/process-clock.ts
+++ b/packages/runtime/src/process-clock.ts
@@ -1,42 +1,45 @@
-/** The clock of one simulated process. */
+/** The clock of a single simulated process. */
 import type { Clock } from './clock.js';
 
-/** A process's view of a clock: its timers end with it. */
+/** A clock whose timers no longer fire once the process has ended. */
 export class ProcessClock implements Clock {
-  private alive = true;
+  private isProcessAlive = true;
 
-  /** `whenRunning`: runs what is due once the process is not paused. */
+  /** Wraps `baseClock`. `deferWhilePaused` runs a due action, but not before the end of a pause of the process. */
   constructor(
-    private readonly base: Clock,
-    private readonly whenRunning: (run: () => void) => void = (run) => run(),
+    private readonly baseClock: Clock,
+    private readonly deferWhilePaused: (run: () => void) => void = (run) => run(),
   ) {}
 
-  /** The process ends: no timer of it runs any more. */
+  /** Ends the process. None of its timers fires any more. */
   kill(): void {
-    this.alive = false;
+    this.isProcessAlive = false;
   }
 
-  /** Whether the process has not ended. */
+  /** Whether the process is still running. */
   get isAlive(): boolean {
-    return this.alive;
+    return this.isProcessAlive;
   }
 
-  /** Milliseconds on the steady clock. */
+  /** Returns the time of the steady clock in milliseconds. */
   steadyMs(): number {
-    return this.base.steadyMs();
+    return this.baseClock.steadyMs();
   }
 
-  /** Milliseconds of the time of day. */
+  /** Returns the time of day in milliseconds since 1970. */
   wallMs(): number {
-    return this.base.wallMs();
+    return this.baseClock.wallMs();
   }
 
-  /** Calls `run` once after `ms` milliseconds, if the process lives then; the result cancels that. */
-  after(ms: number, run: () => void): () => void {
+  /**
+   * Calls `callback` once after `delayMs` milliseconds, provided that the process has not ended by then. Returns a function
+   * that cancels the timer.
+   */
+  after(delayMs: number, callback: () => void): () => void {
     let isCancelled = false;
-    const cancelTimer = this.base.after(ms, () =>
-      this.whenRunning(() => {
-        if (this.alive && !isCancelled) run();
+    const cancelTimer = this.baseClock.after(delayMs, () =>
+      this.deferWhilePaused(() => {
+        if (this.isProcessAlive && !isCancelled) callback();
       }),
     );
     return () => {
--- a/packages/runtime/src/rate-limiter.ts
+++ b/packages/runtime/src/rate-limiter.ts
@@ -1,40 +1,46 @@
-/** A token bucket. */
+/** A rate limiter with a token bucket. */
 import type { Clock } from './clock.js';
 
-/** Permits so many requests a second on average, and a burst of what was saved up. */
+/** Permits a number of requests per second on average, and bursts of as many requests as there are tokens. */
 export class RateLimiter {
   private tokens: number;
-  private refilledMs: number;
+  private lastRefillAtMs: number;
   private burstS = 1;
 
-  /** Begins with a full bucket: one second's worth, and at least one request. */
+  /** Starts with a full bucket, which holds the tokens of one second and at least one token. */
   constructor(
     private readonly clock: Clock,
     private requestsPerSecond: number,
   ) {
     this.tokens = this.capacity;
-    this.refilledMs = clock.steadyMs();
+    this.lastRefillAtMs = clock.steadyMs();
   }
 
-  /** Changes the rate, and how many seconds' worth may be saved up; what was saved up or is owed stays. */
+  /**
+   * Changes the rate and the size of the bucket, which has room for the requests of `burstS` seconds. The tokens in the
+   * bucket, or a negative balance, are kept.
+   */
   setRate(requestsPerSecond: number, burstS = 1): void {
     this.refill();
     this.requestsPerSecond = requestsPerSecond;
     this.burstS = burstS;
   }
 
-  /** Milliseconds until `count` requests are permitted; 0: now. */
-  waitMs(count: number): number {
+  /** Returns the number of milliseconds until `requestCount` requests are permitted, or 0 if they are permitted now. */
+  waitMs(requestCount: number): number {
     this.refill();
-    const needed = Math.min(count, this.capacity);
-    if (this.tokens >= needed) return 0;
-    return Math.ceil(((needed - this.tokens) * 1000) / this.requestsPerSecond);
+    const requiredTokens = Math.min(requestCount, this.capacity);
+    if (this.tokens >= requiredTokens) return 0;
+    return Math.ceil(((requiredTokens - this.tokens) * 1000) / this.requestsPerSecond);
   }
 
-  /** Counts `count` requests, also if they exceed what is permitted: the next caller waits for what is owed. */
-  consume(count: number): void {
+  /**
+   * Takes the tokens of `requestCount` requests, even if the bucket holds too few. The number of tokens then becomes
+   * negative, and the next caller waits until the bucket has refilled.
+   */
+  consume(requestCount: number): void {
     this.refill();
-    this.tokens -= count;
+    this.tokens -= requestCount;
   }
 
   private get capacity(): number {
@@ -43,8 +49,8 @@
 
   private refill(): void {
     const nowMs = this.clock.steadyMs();
-    const earned = ((nowMs - this.refilledMs) * this.requestsPerSecond) / 1000;
-    this.tokens = Math.min(this.capacity, this.tokens + earned);
-    this.refilledMs = nowMs;
+    const newTokens = ((nowMs - this.lastRefillAtMs) * this.requestsPerSecond) / 1000;
+    this.tokens = Math.min(this.capacity, this.tokens + newTokens);
+    this.lastRefillAtMs = nowMs;
   }
 }
--- a/packages/runtime/src/simulated-clock.ts
+++ b/packages/runtime/src/simulated-clock.ts
@@ -1,51 +1,51 @@
-/** Simulated time, for the simulation and for tests. */
+/** A simulated clock for the simulation and for tests. */
 import type { Clock } from './clock.js';
 import { TimerQueue } from './timer-queue.js';
 
 export { ProcessClock } from './process-clock.js';
 
-/** ms since 1970: an arbitrary time of day at which simulated time begins. */
+/** Time of day at which simulated time begins, in milliseconds since 1970. The value is arbitrary. */
 const WALL_CLOCK_START_MS = 1_700_000_000_000;
 
-/** Jumps from one timer to the next; timers of the same time run in the order in which they were set. */
+/** A clock that jumps from one timer to the next. Timers due at the same time fire in the order in which they were set. */
 export class SimulatedClock implements Clock {
   private nowMs = 0;
   private nextSequence = 0;
   private readonly timers = new TimerQueue();
 
-  /** Milliseconds since the clock was made. */
+  /** Returns the simulated milliseconds since the clock was created. */
   steadyMs(): number {
     return this.nowMs;
   }
 
-  /** Milliseconds of the simulated time of day. */
+  /** Returns the simulated time of day in milliseconds since 1970. */
   wallMs(): number {
     return WALL_CLOCK_START_MS + this.nowMs;
   }
 
-  /** Calls `run` once after `ms` simulated milliseconds; the result cancels that. */
-  after(ms: number, run: () => void): () => void {
-    const timer = { atMs: this.nowMs + Math.max(0, ms), sequence: this.nextSequence++, run };
+  /** Calls `callback` once after `delayMs` simulated milliseconds. Returns a function that cancels the timer. */
+  after(delayMs: number, callback: () => void): () => void {
+    const timer = { dueAtMs: this.nowMs + Math.max(0, delayMs), sequence: this.nextSequence++, callback };
     this.timers.push(timer);
     return () => {
-      timer.run = () => undefined;
+      timer.callback = () => undefined;
     };
   }
 
-  /** Runs every timer up to `untilMs`; promises settle between timers. */
+  /** Fires every timer that is due by `untilMs`. Pending promises settle after each timer. */
   async runUntil(untilMs: number): Promise<void> {
-    await settle();
-    for (let next = this.timers.peek(); next && next.atMs <= untilMs; next = this.timers.peek()) {
+    await settlePromises();
+    for (let timer = this.timers.peek(); timer && timer.dueAtMs <= untilMs; timer = this.timers.peek()) {
       this.timers.pop();
-      this.nowMs = next.atMs;
-      next.run();
-      await settle();
+      this.nowMs = timer.dueAtMs;
+      timer.callback();
+      await settlePromises();
     }
     this.nowMs = untilMs;
   }
 }
 
-/** Lets every promise that can settle do so. */
-async function settle(): Promise<void> {
+/** Waits until every promise that can settle has settled. */
+async function settlePromises(): Promise<void> {
   await new Promise<void>((resolve) => setImmediate(resolve));
 }
--- a/packages/runtime/src/timer-queue.ts
+++ b/packages/runtime/src/timer-queue.ts
@@ -1,28 +1,28 @@
-/** The timers of simulated time, as a binary heap. */
+/** A priority queue of timers for the simulated clock, implemented as a binary heap. */
 
-/** Something to run at a time. */
+/** A callback that is due at a given time. */
 export interface Timer {
-  /** Simulated ms. */
-  readonly atMs: number;
-  /** Decides between timers of the same time: the lower one runs first. */
+  /** Time on the simulated steady clock, in milliseconds, at which the timer is due. */
+  readonly dueAtMs: number;
+  /** Of two timers that are due at the same time, the one with the lower sequence number fires first. */
   readonly sequence: number;
-  /** Replaced by an action that does nothing when the timer is cancelled. */
-  run: () => void;
+  /** Called when the timer fires. When the timer is cancelled, it is replaced by a function that does nothing. */
+  callback: () => void;
 }
 
 const isBefore = (a: Timer, b: Timer): boolean =>
-  a.atMs < b.atMs || (a.atMs === b.atMs && a.sequence < b.sequence);
+  a.dueAtMs < b.dueAtMs || (a.dueAtMs === b.dueAtMs && a.sequence < b.sequence);
 
-/** Returns timers in order of time. */
+/** A queue that returns the timers in the order in which they are due. */
 export class TimerQueue {
   private readonly heap: Timer[] = [];
 
-  /** The earliest timer, which stays in the queue; undefined if there is none. */
+  /** Returns the earliest timer without removing it, or undefined if the queue is empty. */
   peek(): Timer | undefined {
     return this.heap[0];
   }
 
-  /** Adds a timer. */
+  /** Adds a timer to the queue. */
   push(timer: Timer): void {
     const { heap } = this;
     let index = heap.push(timer) - 1;
@@ -36,27 +36,29 @@
     heap[index] = timer;
   }
 
-  /** Removes the earliest timer. */
+  /** Removes the earliest timer, if there is one. */
   pop(): void {
     const { heap } = this;
-    const last = heap.pop();
-    if (!last || heap.length === 0) return;
+    const lastTimer = heap.pop();
+    if (!lastTimer || heap.length === 0) return;
     let index = 0;
     for (;;) {
-      const childIndex = this.earlierChild(index);
+      const childIndex = this.findEarlierChildIndex(index);
       const child = heap[childIndex];
-      if (!child || !isBefore(child, last)) break;
+      if (!child || !isBefore(child, lastTimer)) break;
       heap[index] = child;
       index = childIndex;
     }
-    heap[index] = last;
+    heap[index] = lastTimer;
   }
 
-  /** Index of the earlier child of an element; beyond the heap's end if it has none. */
-  private earlierChild(index: number): number {
-    const firstIndex = 2 * index + 1;
-    const first = this.heap[firstIndex];
-    const second = this.heap[firstIndex + 1];
-    return first && second && isBefore(second, first) ? firstIndex + 1 : firstIndex;
+  /** Returns the index of the child that is due first. If the element has no child, the index is beyond the heap's end. */
+  private findEarlierChildIndex(index: number): number {
+    const firstChildIndex = 2 * index + 1;
+    const firstChild = this.heap[firstChildIndex];
+    const secondChild = this.heap[firstChildIndex + 1];
+    return firstChild && secondChild && isBefore(secondChild, firstChild)
+      ? firstChildIndex + 1
+      : firstChildIndex;
   }
 }
