--- a/src/election/campaign-schedule.ts
+++ b/src/election/campaign-schedule.ts
@@ -1,69 +1,74 @@
-/** When a follower may campaign. */
+/** Decides when a follower may campaign. */
 import { CAMPAIGN_JITTER_MS, REMOTE_CAMPAIGN_DELAY_MS, STEP_DOWN_PAUSE_MS } from '../constants.js';
 import type { StateReplica } from '../state/state-replica.js';
 import { NodeZones } from './node-zones.js';
 
-/** Dependencies of the schedule. */
+/** Dependencies of `CampaignSchedule`. */
 export interface CampaignScheduleDependencies {
   /** Zone of this controller. */
   readonly zone: string;
   readonly replica: Pick<StateReplica, 'listPrefix'>;
-  /** Steady ms. */
+  /** Returns the time of the steady clock in milliseconds. */
   readonly nowMs: () => number;
-  /** A source of randomness, from 0 to 1. */
+  /** Returns a random number from 0 to below 1. */
   readonly random: () => number;
 }
 
-/** Keeps the earliest moment of the next campaign; all times are steady ms. */
+/** Keeps the earliest time of the next campaign. All times are milliseconds on the steady clock. */
 export class CampaignSchedule {
-  private nextCampaignMs: number;
-  /** Until when this controller leaves the leadership to others after it stepped down. */
-  private steppedDownUntilMs = -Infinity;
+  private earliestCampaignAtMs: number;
+  /** Until this time, a controller that stepped down leaves the leadership to others. */
+  private stepDownPauseEndsAtMs = -Infinity;
 
-  /** `earliestMs`: when the votes of a former process have surely ended. */
+  /** Creates the schedule. At `votesEndAtMs`, every vote that a former process of this controller granted has ended. */
   constructor(
-    private readonly deps: CampaignScheduleDependencies,
-    earliestMs: number,
+    private readonly dependencies: CampaignScheduleDependencies,
+    votesEndAtMs: number,
   ) {
-    this.nextCampaignMs = earliestMs + this.delayOfZoneMs();
+    this.earliestCampaignAtMs = votesEndAtMs + this.computeZoneDelayMs();
   }
 
   /** Whether the pause before the next campaign is over. */
-  get isDue(): boolean {
-    return this.deps.nowMs() >= this.nextCampaignMs;
+  get isCampaignDue(): boolean {
+    return this.dependencies.nowMs() >= this.earliestCampaignAtMs;
   }
 
-  /** Whether this controller stepped down so lately that it is not eligible. */
-  get isSteppedDown(): boolean {
-    return this.deps.nowMs() < this.steppedDownUntilMs;
+  /** Whether this controller stepped down so recently that it is not eligible. */
+  get hasRecentlySteppedDown(): boolean {
+    return this.dependencies.nowMs() < this.stepDownPauseEndsAtMs;
   }
 
-  /** No campaign for exactly this long. */
+  /** Postpones the next campaign until `pauseMs` milliseconds from now. */
   postponeBy(pauseMs: number): void {
-    this.nextCampaignMs = this.deps.nowMs() + pauseMs;
+    this.earliestCampaignAtMs = this.dependencies.nowMs() + pauseMs;
   }
 
-  /** No campaign for about this long: from half to one and a half times as much, at random. */
-  postponeByAbout(pauseMs: number): void {
-    this.postponeBy(pauseMs * (0.5 + this.deps.random()));
+  /** Postpones the next campaign by a random pause between 0.5 and 1.5 times `averagePauseMs`. */
+  postponeWithJitter(averagePauseMs: number): void {
+    this.postponeBy(averagePauseMs * (0.5 + this.dependencies.random()));
   }
 
-  /** Leaves the leadership to others for a while. */
-  stepDown(): void {
-    this.steppedDownUntilMs = this.deps.nowMs() + STEP_DOWN_PAUSE_MS;
-    this.nextCampaignMs = this.steppedDownUntilMs;
+  /** Postpones the next campaign by `STEP_DOWN_PAUSE_MS`, so that another controller can become leader. */
+  pauseAfterStepDown(): void {
+    this.stepDownPauseEndsAtMs = this.dependencies.nowMs() + STEP_DOWN_PAUSE_MS;
+    this.earliestCampaignAtMs = this.stepDownPauseEndsAtMs;
   }
 
-  /** There is no leader: plans a campaign soon, at random so that candidates seldom collide. Returns the ms until then. */
+  /**
+   * Schedules the next campaign after the leader was lost. The delay is random, so that candidates seldom collide. Returns
+   * the number of milliseconds until the campaign.
+   */
   planAfterLeaderLoss(): number {
-    const { nowMs, random } = this.deps;
-    const earliestMs = nowMs() + this.delayOfZoneMs() + random() * CAMPAIGN_JITTER_MS;
-    this.nextCampaignMs = Math.max(earliestMs, this.steppedDownUntilMs);
-    return this.nextCampaignMs - nowMs();
+    const { nowMs, random } = this.dependencies;
+    const earliestAtMs = nowMs() + this.computeZoneDelayMs() + random() * CAMPAIGN_JITTER_MS;
+    this.earliestCampaignAtMs = Math.max(earliestAtMs, this.stepDownPauseEndsAtMs);
+    return this.earliestCampaignAtMs - nowMs();
   }
 
-  /** Controllers near the nodes campaign first. */
-  private delayOfZoneMs(): number {
-    return NodeZones.fromReplica(this.deps.replica).isRemote(this.deps.zone) ? REMOTE_CAMPAIGN_DELAY_MS : 0;
+  /** Returns an extra delay for a controller in a zone with few nodes, so that controllers near the nodes campaign first. */
+  private computeZoneDelayMs(): number {
+    return NodeZones.fromReplica(this.dependencies.replica).isRemote(this.dependencies.zone)
+      ? REMOTE_CAMPAIGN_DELAY_MS
+      : 0;
   }
 }
--- a/src/election/campaign.ts
+++ b/src/election/campaign.ts
@@ -1,4 +1,4 @@
-/** One attempt of a candidate to become leader. */
+/** A single attempt of a candidate to become leader. */
 import { LEADER_LEASE_TTL_MS } from '../constants.js';
 import { encodeLeader, LEADER_KEY, TERM_KEY } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
@@ -6,43 +6,49 @@
 import { decodeTerm, encodeTerm } from '../state/term-record.js';
 import type { WireInt } from '../wire/json.js';
 
-/** Dependencies of a campaign. */
+/** Dependencies of `runCampaign`. */
 export interface CampaignDependencies {
   readonly storeClient: Pick<StoreClient, 'grantLease' | 'compareAndSwap'>;
   readonly replica: Pick<StateReplica, 'get'>;
-  /** The candidate's name. */
+  /** Name of the candidate. */
   readonly member: string;
-  /** Whether leased roles act for this candidate once it leads; recorded with the leader. */
+  /**
+   * Whether the holders of the leased roles call the cloud on behalf of this candidate once it leads. The value is stored in
+   * the leader's record.
+   */
   readonly delegatesRoles: boolean;
-  /** Steady ms. */
+  /** Returns the time of the steady clock in milliseconds. */
   readonly nowMs: () => number;
 }
 
-/** How a campaign ended. */
+/** The result of a campaign. */
 export interface CampaignResult {
-  /** Steady ms right before the lease was requested: the authority of a won term counts from then. */
-  readonly requestedMs: number;
-  /** The lease to which the leader's key is attached. */
+  /**
+   * Time on the steady clock, in milliseconds, just before the lease was requested. If the campaign is won, the authority of
+   * the term counts from this time.
+   */
+  readonly leaseRequestedAtMs: number;
+  /** Id of the lease to which the leader's key is attached. */
   readonly leaseId: WireInt;
-  /** Number of the term that the candidate tried to begin. */
+  /** Number of the term that the candidate tried to start. */
   readonly fencingToken: number;
-  /** What was written, or tried, under the leader's key. */
+  /** The value that the campaign tried to write under the leader's key. */
   readonly leaderValue: unknown;
-  /** Outcome of the compare-and-swap that decides the campaign. */
-  readonly result: TransactionResult;
+  /** Result of the compare-and-swap that decides the campaign. */
+  readonly transactionResult: TransactionResult;
 }
 
-/** Receives the end of a campaign: exactly one of the two is called. */
+/** Receives the end of a campaign. Exactly one of the two methods is called. */
 export interface CampaignCallbacks {
-  /** The state store answered; the candidate won only if the transaction was applied. */
+  /** Called when the transaction has ended. The candidate won only if the transaction was applied. */
   onEnded(result: CampaignResult): void;
-  /** A call to the state store failed. */
+  /** Called when a call to the state store failed. */
   onFailed(error: unknown): void;
 }
 
 /**
- * Requests a lease and writes the leader's key with it, on condition that there is no leader and that nobody raised the
- * term since. Never rejects.
+ * Requests a lease and writes the leader's key attached to it, on the condition that no leader exists and that the term has
+ * not been raised in the meantime. Never rejects.
  */
 export async function runCampaign(
   { storeClient, replica, member, delegatesRoles, nowMs }: CampaignDependencies,
@@ -51,10 +57,10 @@
   try {
     const latestTerm = replica.get(TERM_KEY);
     const fencingToken = decodeTerm(latestTerm?.value) + 1;
-    const requestedMs = nowMs();
+    const leaseRequestedAtMs = nowMs();
     const leaseId = await storeClient.grantLease(LEADER_LEASE_TTL_MS);
     const leaderValue = encodeLeader({ member, term: fencingToken, delegates: delegatesRoles });
-    const result = await storeClient.compareAndSwap(
+    const transactionResult = await storeClient.compareAndSwap(
       [
         { key: LEADER_KEY, modRevision: 0 },
         { key: TERM_KEY, modRevision: latestTerm?.modRevision ?? 0 },
@@ -64,7 +70,7 @@
         { key: TERM_KEY, value: encodeTerm(fencingToken) },
       ],
     );
-    callbacks.onEnded({ requestedMs, leaseId, fencingToken, leaderValue, result });
+    callbacks.onEnded({ leaseRequestedAtMs, leaseId, fencingToken, leaderValue, transactionResult });
   } catch (error) {
     callbacks.onFailed(error);
   }
--- a/src/election/cancellation-log.ts
+++ b/src/election/cancellation-log.ts
@@ -1,4 +1,4 @@
-/** A bounded log of cancelled jobs, from which a leader that the state store does not serve catches up. */
+/** A bounded log of cancelled jobs. A leader that the state store does not serve reads it to catch up. */
 import { CANCELLATION_LOG_ENTRIES } from '../constants.js';
 import type { LogOffset } from '../peers/peer-messages.js';
 import type { WireInt } from '../wire/json.js';
@@ -9,22 +9,22 @@
 }
 
 /**
- * The cancelled jobs in this controller's replica, in the order in which it learned of them. A leader reads on from its last
- * offset; the first time from the revision up to which its own replica is complete.
+ * The cancelled jobs in the replica of this controller, in the order in which the replica received them. A leader reads on
+ * from its last offset. Its first read starts at the revision up to which its own replica is complete.
  */
 export class CancellationLog {
   private readonly entries: LogEntry[] = [];
   /** Sequence number of the oldest entry. */
   private firstSequence = 1;
-  /** No entry that was dropped had a larger revision. */
+  /** Largest revision of all entries that were dropped, or 0 if none was. */
   private maxDroppedRevision: WireInt = 0;
 
   constructor(
-    /** Number of this log, unlike that of every other process. */
-    private readonly id: number,
+    /** Number of this log, which differs from those of all other processes. */
+    private readonly logId: number,
   ) {}
 
-  /** Appends a cancelled job; the oldest entries are dropped in batches. */
+  /** Appends a cancelled job. The oldest entries are dropped in batches. */
   append(key: string, modRevision: WireInt): void {
     this.entries.push({ key, modRevision });
     if (this.entries.length < 2 * CANCELLATION_LOG_ENTRIES) return;
@@ -34,17 +34,18 @@
     }
   }
 
-  /** The offset after the newest entry. */
+  /** Offset of a reader that has read all entries. */
   get endOffset(): LogOffset {
-    return { logId: this.id, sequence: this.firstSequence + this.entries.length - 1 };
+    return { logId: this.logId, sequence: this.firstSequence + this.entries.length - 1 };
   }
 
   /**
-   * Keys of the cancelled jobs that a reader lacks: what follows its offset, or what is newer than `sinceRevision` if it has
-   * none in this log. Undefined if entries that it may lack were dropped.
+   * Lists the keys of the cancelled jobs that a reader lacks. These are the entries after its offset or, if it has no offset
+   * in this log, those with a revision above `sinceRevision`. Returns undefined if entries that the reader may lack were
+   * dropped.
    */
-  keysAfter(offset: LogOffset | undefined, sinceRevision: WireInt): string[] | undefined {
-    if (offset?.logId === this.id && offset.sequence >= this.firstSequence - 1)
+  listKeysAfter(offset: LogOffset | undefined, sinceRevision: WireInt): string[] | undefined {
+    if (offset?.logId === this.logId && offset.sequence >= this.firstSequence - 1)
       return this.entries.slice(offset.sequence - this.firstSequence + 1).map((entry) => entry.key);
     if (sinceRevision < this.maxDroppedRevision) return undefined;
     return this.entries.filter((entry) => entry.modRevision > sinceRevision).map((entry) => entry.key);
--- a/src/election/cancellation-watermark.ts
+++ b/src/election/cancellation-watermark.ts
@@ -1,6 +1,7 @@
 /**
- * The rule that bounds how long a cancelled job may run on, free of clocks and input or output: whoever answers a heartbeat
- * knows every cancellation that was confirmed to a user more than `maxCancellationLagMs` ago.
+ * The rule that limits how long a cancelled job may keep running: a controller that answers a heartbeat knows every
+ * cancellation that was confirmed to a user more than `maxCancellationLagMs` ago. This module reads no clock and does no
+ * input or output.
  */
 import {
   AUTHORITY_MARGIN_MS,
@@ -13,56 +14,61 @@
 } from '../constants.js';
 
 /**
- * How old, in ms, a confirmed cancellation may get before every answering leader must know it. The worst chain: a cancellation
- * is confirmed; for that long a leader that does not know it may answer; its last answer may be delayed by a relay; and a
- * worker that gets no further answer runs its tasks for the rest of its lease. A later answer would stop them. All of it
- * together fits into `cancelS`. The result is negative where the settings leave no time.
+ * Returns the maximum age, in milliseconds, of a confirmed cancellation that a leader answering heartbeats may not know yet.
+ *
+ * In the worst case, a leader that does not know the cancellation answers a heartbeat when the cancellation has reached this
+ * age. A relay delays the answer. The worker gets no further answer, which would stop the tasks, and runs them until its
+ * lease expires. All of this together must fit into `cancelS`. The result is negative if the settings leave no time.
  *
  * @param cancelS - seconds within which the tasks of a cancelled job must have ended
- * @param leaseS - seconds of a worker's lease
+ * @param leaseS - duration of a worker's lease in seconds
  */
 export function maxCancellationLagMs(cancelS: number, leaseS: number): number {
-  const leaseMs = leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+  const maxLeaseMs = leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
   return (
     cancelS * 1000 * (1 - CLOCK_DRIFT) -
-    leaseMs -
+    maxLeaseMs -
     RELAY_RESPONSE_VALIDITY_MS -
     AUTHORITY_MARGIN_MS -
     CANCELLATION_MARGIN_MS
   );
 }
 
-/** Who tells this controller of new cancellations at the moment. */
+/** From where this controller currently learns of new cancellations. */
 export type CancellationSource = 'stateStore' | 'peers';
 
-/** Up to which moment this controller surely knows all confirmed cancellations. Times are steady ms and are passed in. */
+/**
+ * Tracks the time up to which this controller certainly knows all confirmed cancellations. All times are milliseconds on the
+ * steady clock and are passed in.
+ */
 export class CancellationWatermark {
-  private completeThroughMs = -Infinity;
+  private completeUntilMs = -Infinity;
 
   constructor(
-    /** Age in ms that the watermark may reach before no heartbeat is answered: see `maxCancellationLagMs`. */
+    /** Age of the watermark, in milliseconds, from which no heartbeat is answered. See `maxCancellationLagMs`. */
     private readonly maxLagMs: number,
   ) {}
 
   /**
-   * Records that everything confirmed before `requestedMs` is in our replica: a read of the state store that began then is
-   * complete, or all other controllers, asked then, have sent what they know. An earlier moment changes nothing.
+   * Records that every cancellation confirmed before `requestedAtMs` is in the local replica. Either a read of the state
+   * store that started at that time is complete, or all other controllers, asked at that time, have sent the cancellations
+   * that they know. A time before the current watermark changes nothing.
    */
-  advance(requestedMs: number): void {
-    this.completeThroughMs = Math.max(this.completeThroughMs, requestedMs);
+  advance(requestedAtMs: number): void {
+    this.completeUntilMs = Math.max(this.completeUntilMs, requestedAtMs);
   }
 
-  /** Whether a heartbeat may be answered; checked besides the authority, right before the answer is sent. */
+  /** Whether a heartbeat may be answered. Check this, and the authority, immediately before the answer is sent. */
   mayAnswer(nowMs: number): boolean {
-    return nowMs - this.completeThroughMs < this.maxLagMs;
+    return nowMs - this.completeUntilMs < this.maxLagMs;
   }
 
   /**
-   * Whether tasks may be started. While the state store does not serve us it may serve the other controllers, which confirm
-   * cancellations: then only what the peers sent a moment ago counts.
+   * Whether tasks may be started. A state store that does not serve this controller may still serve the others, which then
+   * confirm further cancellations. Therefore the watermark must be more recent if the cancellations come from the peers.
    */
   mayStart(nowMs: number, source: CancellationSource): boolean {
     const maxLagMs = source === 'stateStore' ? START_CANCELLATION_LAG_MS : LEASE_VOTE_MS;
-    return nowMs - this.completeThroughMs < maxLagMs;
+    return nowMs - this.completeUntilMs < maxLagMs;
   }
 }
--- a/src/election/election-options.ts
+++ b/src/election/election-options.ts
@@ -1,4 +1,4 @@
-/** What the election needs from its controller. */
+/** The options with which a controller creates its election. */
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
@@ -13,7 +13,10 @@
   readonly member: string;
   /** Zone of this controller. */
   readonly zone: string;
-  /** Whether holders of leased roles act for this controller while it leads; recorded with the leader. */
+  /**
+   * Whether the holders of the leased roles call the cloud on behalf of this controller while it leads. The value is stored
+   * in the leader's record.
+   */
   readonly delegatesRoles: boolean;
   /** The other controllers. */
   readonly peers: readonly Peer[];
@@ -22,12 +25,12 @@
   readonly transport: PeerTransport;
   readonly callbacks: LeadershipCallbacks;
   readonly clock: Clock;
-  /** A source of randomness, from 0 to 1. */
+  /** Returns a random number from 0 to below 1. */
   readonly random: () => number;
   readonly watermark: CancellationWatermark;
-  /** Largest value of the state store, in bytes. */
+  /** Size limit of a value in the state store, in bytes. */
   readonly maxValueBytes: number;
-  /** Steady ms at which this process began. */
+  /** Time on the steady clock, in milliseconds, at which this process started. */
   readonly processStartMs: number;
   readonly log: Logger;
 }
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -1,7 +1,7 @@
 /**
- * Leader election: one leader at a time. The leader's key in the state store is attached to a lease; whoever finds the key
- * gone raises the term by a compare-and-swap. While the state store answers nobody, the lease votes of all other
- * controllers extend the leader's authority (docs/design.md argues why that is safe).
+ * Leader election, with at most one leader at a time. The leader's key in the state store is attached to a lease. If the key
+ * is missing, a controller campaigns by raising the term with a compare-and-swap. While the state store serves no controller,
+ * the lease votes of all other controllers extend the leader's authority. docs/design.md explains why that is safe.
  */
 import { Actor, assertNever } from '@pumicehinge/runtime';
 import {
@@ -38,7 +38,7 @@
   | {
       readonly kind: 'leaseRenewalAnswered';
       readonly leaseId: WireInt;
-      readonly requestedMs: number;
+      readonly requestedAtMs: number;
       readonly isAlive: boolean;
     }
   | { readonly kind: 'leaseRenewalFailed' }
@@ -49,8 +49,8 @@
   readonly kind: 'leader';
   readonly term: LeadershipTerm;
   readonly lease: LeaderLease;
-  /** Steady ms at which the campaign was won. */
-  readonly electedMs: number;
+  /** Time on the steady clock, in milliseconds, at which the campaign was won. */
+  readonly electedAtMs: number;
 }
 
 type Role = { readonly kind: 'follower' } | { readonly kind: 'candidate' } | LeaderRole;
@@ -58,18 +58,18 @@
 const FOLLOWER: Role = { kind: 'follower' };
 const CANDIDATE: Role = { kind: 'candidate' };
 
-/** The election as seen from one controller: follower, candidate or leader. */
+/** Takes part in the election on behalf of this controller, which is a follower, a candidate or the leader. */
 export class Election extends Actor<Message> {
-  /** Which of the other controllers are alive, eligible, and relay to whom. */
+  /** Tracks which other controllers are alive and eligible to lead, and to which leader they relay heartbeats. */
   readonly failureDetector: PeerFailureDetector;
-  /** Who leads, as far as this controller knows. */
+  /** What this controller knows about the current leader. */
   readonly view: LeaderView;
   private role: Role = FOLLOWER;
-  private readonly schedule: CampaignSchedule;
+  private readonly campaignSchedule: CampaignSchedule;
   private readonly announcer: StatusAnnouncer;
-  private readonly voter: LeaseVoter;
-  private readonly votes: LeaseVoteCollector;
-  private readonly transfer: LeadershipTransfer;
+  private readonly leaseVoter: LeaseVoter;
+  private readonly voteCollector: LeaseVoteCollector;
+  private readonly leadershipTransfer: LeadershipTransfer;
   private readonly nowMs: () => number;
 
   constructor(private readonly options: ElectionOptions) {
@@ -78,25 +78,25 @@
     const nowMs = (this.nowMs = () => clock.steadyMs());
     const failureDetector = (this.failureDetector = new PeerFailureDetector(peers, nowMs));
     this.view = new LeaderView({ ...options, failureDetector });
-    this.voter = new LeaseVoter({
+    this.leaseVoter = new LeaseVoter({
       ...options,
       nowMs,
       isFollower: () => this.role.kind === 'follower',
       processStartMs: peers.length > 0 ? options.processStartMs : undefined,
     });
-    this.votes = new LeaseVoteCollector({ peers, replica, transport, watermark, nowMs });
-    this.transfer = new LeadershipTransfer({ ...options, failureDetector, nowMs });
-    this.schedule = new CampaignSchedule({ ...options, nowMs }, this.voter.earliestCampaignMs);
-    const { view, schedule } = this;
-    this.announcer = new StatusAnnouncer({ ...options, view, failureDetector, schedule });
+    this.voteCollector = new LeaseVoteCollector({ peers, replica, transport, watermark, nowMs });
+    this.leadershipTransfer = new LeadershipTransfer({ ...options, failureDetector, nowMs });
+    this.campaignSchedule = new CampaignSchedule({ ...options, nowMs }, this.leaseVoter.earliestCampaignAtMs);
+    const { view, campaignSchedule } = this;
+    this.announcer = new StatusAnnouncer({ ...options, leaderView: view, failureDetector, campaignSchedule });
     replica.onChange((change) => {
-      this.voter.recordChange(change);
+      this.leaseVoter.recordChange(change);
       if (change.key === LEADER_KEY) this.send({ kind: 'leaderKeyChanged' });
     });
     transport.onMessage((member, message) => this.send({ kind: 'peerMessage', member, message }));
   }
 
-  /** Starts the periodic timers; called once. */
+  /** Starts the periodic timers. Call this once. */
   start(): void {
     const tick = (): void => {
       this.send({ kind: 'tick' });
@@ -111,7 +111,7 @@
     return this.role.kind === 'leader' && this.role.term === term;
   }
 
-  /** Gives up the leadership, if this controller holds it, and leaves it to others for a while. */
+  /** Gives up the leadership if this controller holds it. The controller then does not campaign for a while. */
   resign(): void {
     this.send({ kind: 'resign' });
   }
@@ -127,9 +127,9 @@
       case 'campaignFailed':
         return this.becomeFollower(STATE_FAILING_AFTER_MS);
       case 'leaseRenewalAnswered':
-        return this.onLeaseRenewalAnswered(message.leaseId, message.requestedMs, message.isAlive);
+        return this.onLeaseRenewalAnswered(message.leaseId, message.requestedAtMs, message.isAlive);
       case 'leaseRenewalFailed':
-        if (this.role.kind === 'leader') this.role.lease.renewalEnded();
+        if (this.role.kind === 'leader') this.role.lease.recordRenewalEnd();
         return;
       case 'peerMessage':
         return this.onPeerMessage(message.member, message.message);
@@ -162,20 +162,20 @@
       if (leaderKey?.modRevision !== role.term.leaderKeyRevision)
         this.loseLeadership(role, 'another controller leads');
     } else if (role.kind === 'follower' && !leaderKey) {
-      const delayMs = this.schedule.planAfterLeaderLoss();
+      const delayMs = this.campaignSchedule.planAfterLeaderLoss();
       this.options.clock.after(delayMs + 1, () => this.send({ kind: 'tick' }));
     }
   }
 
   private campaignIfDue(): void {
     const { replica, storeClient, member, delegatesRoles } = this.options;
-    if (!replica.isLoaded || !this.schedule.isDue) return;
+    if (!replica.isLoaded || !this.campaignSchedule.isCampaignDue) return;
     const leaderKey = replica.get(LEADER_KEY);
     if (leaderKey) {
       if (this.view.knownLeader() === member) this.deleteOwnLeaderKey(leaderKey);
       return;
     }
-    if (this.nowMs() < this.voter.earliestCampaignMs) return;
+    if (this.nowMs() < this.leaseVoter.earliestCampaignAtMs) return;
     this.role = CANDIDATE;
     void runCampaign(
       { storeClient, replica, member, delegatesRoles, nowMs: this.nowMs },
@@ -190,64 +190,72 @@
   }
 
   /**
-   * A key that names us while we don't lead was written by a former process of this controller, or by a campaign that was
-   * applied late. Either is surely over, so nobody has to wait for its lease to expire.
+   * Deletes a leader key that names this controller although it does not lead. The key was written by a former process of
+   * this controller or by a campaign whose transaction was applied late. Both have certainly ended, so no controller has to
+   * wait until the lease of the key expires.
    */
   private deleteOwnLeaderKey({ key, modRevision }: KeyValue): void {
-    this.schedule.postponeBy(STATE_CALL_TIMEOUT_MS);
+    this.campaignSchedule.postponeBy(STATE_CALL_TIMEOUT_MS);
     void this.options.storeClient.compareAndSwap([{ key, modRevision }], [{ key, value: undefined }]);
   }
 
-  private onCampaignEnded({ requestedMs, leaseId, fencingToken, leaderValue, result }: CampaignResult): void {
+  private onCampaignEnded({
+    leaseRequestedAtMs,
+    leaseId,
+    fencingToken,
+    leaderValue,
+    transactionResult,
+  }: CampaignResult): void {
     const { storeClient, replica, callbacks } = this.options;
     const lease = new LeaderLease(storeClient, leaseId);
-    if (result.outcome !== 'applied') {
-      // A transaction of unknown outcome may still be applied: nobody acts on it, and without its lease it is removed.
+    if (transactionResult.outcome !== 'applied') {
+      // A transaction with an unknown outcome may still be applied. No controller acts on it, and revoking the lease deletes
+      // the leader's key.
       lease.release();
       this.becomeFollower(CAMPAIGN_JITTER_MS);
       return;
     }
     const authority = new LeadershipAuthority();
-    authority.renew(requestedMs, LEADER_LEASE_TTL_MS);
-    const term: LeadershipTerm = { fencingToken, leaderKeyRevision: result.revision, authority };
-    this.role = { kind: 'leader', term, lease, electedMs: this.nowMs() };
-    replica.applyOwnWrite(LEADER_KEY, leaderValue, result.revision);
-    replica.applyOwnWrite(TERM_KEY, encodeTerm(fencingToken), result.revision);
+    authority.renew(leaseRequestedAtMs, LEADER_LEASE_TTL_MS);
+    const term: LeadershipTerm = { fencingToken, leaderKeyRevision: transactionResult.revision, authority };
+    this.role = { kind: 'leader', term, lease, electedAtMs: this.nowMs() };
+    replica.applyOwnWrite(LEADER_KEY, leaderValue, transactionResult.revision);
+    replica.applyOwnWrite(TERM_KEY, encodeTerm(fencingToken), transactionResult.revision);
     storeClient.setLeading(true);
     this.log.info({ term: fencingToken }, 'leadership acquired');
     callbacks.onElected(term);
   }
 
   private renewLeadership({ term, lease }: LeaderRole): void {
-    const requestedMs = this.nowMs();
+    const requestedAtMs = this.nowMs();
     lease.renew({
       onAnswered: (isAlive) =>
-        this.send({ kind: 'leaseRenewalAnswered', leaseId: lease.id, requestedMs, isAlive }),
+        this.send({ kind: 'leaseRenewalAnswered', leaseId: lease.id, requestedAtMs, isAlive }),
       onFailed: () => this.send({ kind: 'leaseRenewalFailed' }),
     });
-    if (this.options.storeClient.isFailing) this.votes.requestVotes(term, requestedMs);
+    if (this.options.storeClient.isFailing) this.voteCollector.requestVotes(term, requestedAtMs);
   }
 
-  private onLeaseRenewalAnswered(leaseId: WireInt, requestedMs: number, isAlive: boolean): void {
+  private onLeaseRenewalAnswered(leaseId: WireInt, requestedAtMs: number, isAlive: boolean): void {
     const { role } = this;
     if (role.kind !== 'leader' || role.lease.id !== leaseId) return;
-    role.lease.renewalEnded();
-    if (isAlive) role.term.authority.renew(requestedMs, LEADER_LEASE_TTL_MS);
+    role.lease.recordRenewalEnd();
+    if (isAlive) role.term.authority.renew(requestedAtMs, LEADER_LEASE_TTL_MS);
     else this.loseLeadership(role, 'lease expired');
   }
 
   private transferLeadershipIfDue(role: LeaderRole): void {
-    if (!this.transfer.findSuccessor(role.electedMs)) return;
-    this.transfer.recordTransfer();
+    if (!this.leadershipTransfer.findSuccessor(role.electedAtMs)) return;
+    this.leadershipTransfer.recordTransfer();
     this.loseLeadership(role, 'leadership transferred to a better placed controller');
-    this.schedule.stepDown();
+    this.campaignSchedule.pauseAfterStepDown();
   }
 
   private onResign(): void {
     if (this.role.kind !== 'leader') return;
     this.loseLeadership(this.role, 'resigned');
-    // The cause of the resignation may still be there, so others go first.
-    this.schedule.stepDown();
+    // The cause of the resignation may persist, so the other controllers campaign first.
+    this.campaignSchedule.pauseAfterStepDown();
   }
 
   private loseLeadership({ term, lease }: LeaderRole, reason: string): void {
@@ -255,16 +263,16 @@
     term.authority.revoke();
     storeClient.setLeading(false);
     this.role = FOLLOWER;
-    this.votes.abandonRound();
+    this.voteCollector.abandonRound();
     this.log.info({ term: term.fencingToken, reason }, 'leadership lost');
     this.becomeFollower(CAMPAIGN_JITTER_MS);
     lease.release();
     callbacks.onLeadershipLost();
   }
 
-  private becomeFollower(pauseMs: number): void {
+  private becomeFollower(campaignPauseMs: number): void {
     this.role = FOLLOWER;
-    this.schedule.postponeByAbout(pauseMs);
+    this.campaignSchedule.postponeWithJitter(campaignPauseMs);
   }
 
   private onPeerMessage(member: string, message: PeerMessage): void {
@@ -274,16 +282,16 @@
       case 'status':
         return this.failureDetector.recordStatus(member, message);
       case 'leaseVoteRequest':
-        return this.voter.handleRequest(member, message);
+        return this.leaseVoter.handleRequest(member, message);
       case 'cancellations':
-        return term && this.votes.handleCancellations(member, message, term);
+        return term && this.voteCollector.handleCancellations(member, message, term);
       case 'leaseVote':
-        return term && this.votes.handleVote(member, message, term);
+        return term && this.voteCollector.handleVote(member, message, term);
       case 'counts':
       case 'relay':
       case 'relayed':
       case 'heartbeat':
-        // Handled by others, who listen to the transport themselves; here it only shows that its sender is alive.
+        // Other components listen to the transport and handle this message. Here it only shows that its sender is alive.
         return;
       default:
         assertNever(message);
--- a/src/election/leader-lease.ts
+++ b/src/election/leader-lease.ts
@@ -1,27 +1,27 @@
-/** The leader's lease at the state store: its renewal and its release. */
+/** Renews and releases the leader's lease in the state store. */
 import { LEADER_LEASE_TTL_MS } from '../constants.js';
 import type { StoreClient } from '../state/store-client.js';
 import type { WireInt } from '../wire/json.js';
 
-/** Receives the end of a renewal: exactly one of the two is called. */
+/** Receives the end of a renewal. Exactly one of the two methods is called. */
 export interface LeaseRenewalCallbacks {
-  /** The state store answered whether the lease is alive. */
+  /** Called when the state store has answered whether the lease is still alive. */
   onAnswered(isAlive: boolean): void;
-  /** The call failed: whether the lease lives is unknown. */
+  /** Called when the call failed. It is then unknown whether the lease is still alive. */
   onFailed(): void;
 }
 
-/** The lease to which the key of a leader is attached. */
+/** The lease to which the leader's key is attached. */
 export class LeaderLease {
   private isRenewing = false;
 
   constructor(
     private readonly storeClient: Pick<StoreClient, 'keepAlive' | 'revokeLease'>,
-    /** The lease's number at the state store. */
+    /** Id of the lease in the state store. */
     readonly id: WireInt,
   ) {}
 
-  /** Starts a renewal, unless one is under way. */
+  /** Starts a renewal, unless one is in progress. */
   renew(callbacks: LeaseRenewalCallbacks): void {
     if (this.isRenewing) return;
     this.isRenewing = true;
@@ -31,12 +31,12 @@
     );
   }
 
-  /** Records that a renewal ended, so that the next may start. */
-  renewalEnded(): void {
+  /** Records that the renewal in progress has ended, so that the next one may start. */
+  recordRenewalEnd(): void {
     this.isRenewing = false;
   }
 
-  /** Revokes the lease without waiting for the answer: if the call fails, the lease expires by itself. */
+  /** Revokes the lease without waiting for the answer. If the call fails, the lease expires on its own. */
   release(): void {
     void this.storeClient.revokeLease(this.id).catch(() => undefined);
   }
--- a/src/election/leader-view.ts
+++ b/src/election/leader-view.ts
@@ -1,11 +1,11 @@
-/** What this controller knows of the current leader, for those who route users and workers. */
+/** What this controller knows about the current leader. It is used to route requests of users and workers. */
 import type { Peer } from '../peers/peer-transport.js';
 import { decodeLeader, LEADER_KEY } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 import type { StoreClient } from '../state/store-client.js';
 import type { PeerFailureDetector } from './peer-failure-detector.js';
 
-/** Dependencies of the view. */
+/** Dependencies of `LeaderView`. */
 export interface LeaderViewDependencies {
   /** Name of this controller. */
   readonly member: string;
@@ -17,55 +17,59 @@
   readonly failureDetector: PeerFailureDetector;
 }
 
-/** A read-only view of the leader and of the controllers that relay to it, as seen from this controller. */
+/** A read-only view of the leader and of the controllers that relay heartbeats to it, as known to this controller. */
 export class LeaderView {
-  constructor(private readonly deps: LeaderViewDependencies) {}
+  constructor(private readonly dependencies: LeaderViewDependencies) {}
 
-  /** Name of the leader in our replica of the state, which may be stale. */
+  /** Returns the name of the leader according to the local replica, which may be stale. */
   knownLeader(): string | undefined {
-    return decodeLeader(this.deps.replica.get(LEADER_KEY)?.value)?.member;
+    return decodeLeader(this.dependencies.replica.get(LEADER_KEY)?.value)?.member;
   }
 
-  /** The known leader, if it is alive and not this controller. */
+  /** Returns the name of the known leader if it is alive and is not this controller. */
   reachableLeader(): string | undefined {
     const leader = this.knownLeader();
-    if (leader === undefined || leader === this.deps.member) return undefined;
-    return this.deps.failureDetector.isAlive(leader) ? leader : undefined;
+    if (leader === undefined || leader === this.dependencies.member) return undefined;
+    return this.dependencies.failureDetector.isAlive(leader) ? leader : undefined;
   }
 
-  /** Whether the known leader may be named to workers: our replica is fresh, or the leader itself is alive. */
+  /**
+   * Whether workers may be told who the leader is. This is the case if a leader is known and either the local replica is up
+   * to date or the leader is alive.
+   */
   get isLeaderInfoFresh(): boolean {
     const leader = this.knownLeader();
     if (leader === undefined) return false;
-    return this.deps.storeClient.isServed || this.deps.failureDetector.isAlive(leader);
+    return this.dependencies.storeClient.isServed || this.dependencies.failureDetector.isAlive(leader);
   }
 
-  /** Whether there is surely no leader at this moment, so that one can be expected soon. */
+  /** Whether there is certainly no leader at present, so that a new one can be expected soon. */
   get isElecting(): boolean {
-    const { replica, storeClient } = this.deps;
+    const { replica, storeClient } = this.dependencies;
     return replica.isLoaded && storeClient.isServed && this.knownLeader() === undefined;
   }
 
   /**
-   * Whether this controller can do something for users. One that the state store does not serve can't, and says so while
-   * another can, or while no other is alive. In an outage that all share it stays healthy: a load balancer that lost all
-   * controllers would bring them back only after a growing pause.
+   * Whether this controller reports itself as healthy. A controller that the state store does not serve cannot serve users.
+   * It reports itself as unhealthy while another controller is eligible to lead, or while no other controller is alive. If
+   * the state store serves none of the controllers, they stay healthy: a load balancer that removed all of them would add
+   * them again only after an increasing delay.
    */
   get isHealthy(): boolean {
-    const { replica, storeClient, peers, failureDetector } = this.deps;
+    const { replica, storeClient, peers, failureDetector } = this.dependencies;
     if (!replica.isLoaded) return false;
     if (storeClient.isServed || peers.length === 0) return true;
-    return failureDetector.isAnyAlive() && !failureDetector.isAnyEligible();
+    return failureDetector.hasAlivePeer() && !failureDetector.hasEligiblePeer();
   }
 
-  /** Names of the controllers of a zone that lead, or relay heartbeats to the leader; in a fixed order. */
+  /** Lists the names of the controllers in a zone that lead or relay heartbeats to the leader, in a fixed order. */
   heartbeatTargets(zone: string): string[] {
     const leader = this.knownLeader();
-    return leader === undefined ? [] : this.deps.failureDetector.heartbeatTargets(zone, leader);
+    return leader === undefined ? [] : this.dependencies.failureDetector.listHeartbeatTargets(zone, leader);
   }
 
-  /** Whether another zone has controllers and all of them are suspect. */
+  /** Whether the zone is not that of this controller, has controllers, and all of them are suspect. */
   isZoneSuspect(zone: string): boolean {
-    return zone !== this.deps.zone && this.deps.failureDetector.isZoneSuspect(zone);
+    return zone !== this.dependencies.zone && this.dependencies.failureDetector.isZoneSuspect(zone);
   }
 }
--- a/src/election/leadership-authority.ts
+++ b/src/election/leadership-authority.ts
@@ -1,14 +1,17 @@
-/** The time until which a leader may act: the safety rule of the election, free of clocks and input or output. */
+/**
+ * Tracks the time until which a leader may act, which is the safety rule of the election. This module reads no clock and does
+ * no input or output.
+ */
 import { LeaseAuthority } from '@pumicehinge/runtime';
 import { AUTHORITY_MARGIN_MS, CLOCK_DRIFT } from '../constants.js';
 
 /**
- * Until when this controller is certainly the only one entitled to answer workers. Its lease renews the authority. Votes of
- * all other controllers extend it, as each of them refrains from a candidacy for a while; but they never revive one that
- * lapsed: in the gap another controller could have led, and its vote would say nothing of that.
+ * Tracks until when this controller is certainly the only one that may answer workers. Renewals of its lease renew the
+ * authority. Votes of all other controllers extend it, because a voter does not campaign for a while. Votes never revive an
+ * authority that has expired: another controller could have led in the gap, and its vote does not rule that out.
  */
 export class LeadershipAuthority extends LeaseAuthority {
-  /** Begins without authority. The safety margin covers a pause between the check and the answer that is sent. */
+  /** Starts without authority. The safety margin covers a pause between the check and the sending of an answer. */
   constructor() {
     super({ safetyMarginMs: AUTHORITY_MARGIN_MS, maxClockDriftRatio: CLOCK_DRIFT });
   }
--- a/src/election/leadership-term.ts
+++ b/src/election/leadership-term.ts
@@ -1,21 +1,21 @@
-/** The term of a leader: what the election hands to the parts that act as leader. */
+/** The term of a leader, which the election passes to the components that act as leader. */
 import type { WireInt } from '../wire/json.js';
 import type { LeadershipAuthority } from './leadership-authority.js';
 
-/** A term that this controller holds. */
+/** A term in which this controller leads. */
 export interface LeadershipTerm {
-  /** The number of the term. It rises with each term, so that workers refuse commands of former leaders. */
+  /** Number of the term. It increases with each term, so that workers reject commands of former leaders. */
   readonly fencingToken: number;
-  /** Revision at which the leader's key was written: a condition of every write of this term. */
+  /** Revision at which the leader's key was written. Every write of this term is conditional on it. */
   readonly leaderKeyRevision: WireInt;
-  /** Until when this controller may act for the term. */
+  /** Tracks until when this controller may act as the leader of this term. */
   readonly authority: LeadershipAuthority;
 }
 
-/** What the election calls when this controller's leadership begins and ends. */
+/** Callbacks for the start and the end of the leadership of this controller. */
 export interface LeadershipCallbacks {
-  /** This controller now leads the given term. */
+  /** Called when this controller becomes leader for the given term. */
   onElected(term: LeadershipTerm): void;
-  /** The term that was announced last is over. */
+  /** Called when the most recent term passed to `onElected` has ended. */
   onLeadershipLost(): void;
 }
--- a/src/election/leadership-transfer.ts
+++ b/src/election/leadership-transfer.ts
@@ -1,4 +1,4 @@
-/** The planned transfer of leadership to a controller in a zone with more nodes. */
+/** Planned transfers of the leadership to a controller in a zone with more nodes. */
 import {
   LEADERSHIP_TRANSFER_INTERVAL_MS,
   LEADERSHIP_TRANSFER_MIN_TERM_MS,
@@ -10,7 +10,7 @@
 import { NodeZones } from './node-zones.js';
 import type { PeerFailureDetector } from './peer-failure-detector.js';
 
-/** Dependencies of the leadership transfer. */
+/** Dependencies of `LeadershipTransfer`. */
 export interface LeadershipTransferDependencies {
   /** Zone of this controller. */
   readonly zone: string;
@@ -18,24 +18,25 @@
   readonly storeClient: Pick<StoreClient, 'isFailing'>;
   readonly replica: Pick<StateReplica, 'listPrefix'>;
   readonly failureDetector: PeerFailureDetector;
-  /** Steady ms. */
+  /** Returns the time of the steady clock in milliseconds. */
   readonly nowMs: () => number;
 }
 
-/** Decides when a leader far from the nodes steps down for a controller that is near them. */
+/** Decides when a leader in a zone with few nodes steps down in favor of a controller near the nodes. */
 export class LeadershipTransfer {
-  private nextTransferMs = -Infinity;
+  private earliestTransferAtMs = -Infinity;
 
-  constructor(private readonly deps: LeadershipTransferDependencies) {}
+  constructor(private readonly dependencies: LeadershipTransferDependencies) {}
 
   /**
-   * A better placed controller, if the leader elected at `electedMs` should step down now. Transfers are rare, and go only to
-   * peers that declare themselves eligible: a peer may be alive and yet not served by the state store.
+   * Returns a controller near the nodes if the leader elected at `electedAtMs` should step down now. Transfers are rare and
+   * only go to peers that announce themselves as eligible, because the state store may not serve a peer that is alive.
    */
-  findSuccessor(electedMs: number): Peer | undefined {
-    const { zone: ownZone, peers, storeClient, replica, failureDetector } = this.deps;
-    const nowMs = this.deps.nowMs();
-    if (nowMs - electedMs < LEADERSHIP_TRANSFER_MIN_TERM_MS || nowMs < this.nextTransferMs) return undefined;
+  findSuccessor(electedAtMs: number): Peer | undefined {
+    const { zone: ownZone, peers, storeClient, replica, failureDetector } = this.dependencies;
+    const nowMs = this.dependencies.nowMs();
+    if (nowMs - electedAtMs < LEADERSHIP_TRANSFER_MIN_TERM_MS || nowMs < this.earliestTransferAtMs)
+      return undefined;
     if (storeClient.isFailing) return undefined;
     const nodeZones = NodeZones.fromReplica(replica);
     if (!nodeZones.isRemote(ownZone)) return undefined;
@@ -45,8 +46,8 @@
     );
   }
 
-  /** Records that the leader steps down for a transfer: the next one of this controller waits. */
+  /** Records that this controller steps down for a transfer, so that its next transfer has to wait. */
   recordTransfer(): void {
-    this.nextTransferMs = this.deps.nowMs() + LEADERSHIP_TRANSFER_INTERVAL_MS;
+    this.earliestTransferAtMs = this.dependencies.nowMs() + LEADERSHIP_TRANSFER_INTERVAL_MS;
   }
 }
--- a/src/election/lease-vote-collector.ts
+++ b/src/election/lease-vote-collector.ts
@@ -1,4 +1,4 @@
-/** The leader's side of lease votes: requests them while the state store fails, and counts what comes back. */
+/** The leader's side of lease votes. It requests votes while the state store fails, and counts the responses. */
 import { LEASE_VOTE_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
 import type { CancellationsMessage, LeaseVote, LogOffset } from '../peers/peer-messages.js';
@@ -9,74 +9,90 @@
 import type { LeadershipTerm } from './leadership-term.js';
 import { LeaseVoteRound } from './lease-vote-round.js';
 
-/** Dependencies of the collector. */
+/** Dependencies of `LeaseVoteCollector`. */
 export interface LeaseVoteCollectorDependencies {
   readonly peers: readonly Peer[];
   readonly replica: Pick<StateReplica, 'merge' | 'syncedRevision'>;
   readonly transport: Pick<PeerTransport, 'send'>;
   readonly watermark: CancellationWatermark;
-  /** Steady ms. */
+  /** Returns the time of the steady clock in milliseconds. */
   readonly nowMs: () => number;
 }
 
 /**
- * Runs rounds of lease votes. A round in which every peer votes extends the term's authority; one in which every peer also
- * sent all its cancellations advances the cancellation watermark.
+ * Runs rounds of lease votes. A round in which every peer grants its vote extends the authority of the term. A round in which
+ * every peer has also sent all its cancellations advances the cancellation watermark.
  */
 export class LeaseVoteCollector {
   private lastRoundId = 0;
-  private round: LeaseVoteRound | undefined;
-  /** How far the cancellation log of each peer is merged into our replica. */
+  private openRound: LeaseVoteRound | undefined;
+  /** The offset up to which the cancellation log of each peer has been merged into the local replica. */
   private readonly mergedOffsets = new Map<string, LogOffset>();
 
-  constructor(private readonly deps: LeaseVoteCollectorDependencies) {}
+  constructor(private readonly dependencies: LeaseVoteCollectorDependencies) {}
 
-  /** Starts a round: votes count from `nowMs`, taken before the requests leave. */
-  requestVotes({ fencingToken: term }: LeadershipTerm, nowMs: number): void {
-    const round = ++this.lastRoundId;
-    const members = this.deps.peers.map((peer) => peer.member);
-    this.round = new LeaseVoteRound(round, nowMs, members);
-    const sinceRevision = this.deps.replica.syncedRevision;
+  /** Starts a round. The votes count from `requestedAtMs`, a time before the requests are sent. */
+  requestVotes({ fencingToken: term }: LeadershipTerm, requestedAtMs: number): void {
+    const roundId = ++this.lastRoundId;
+    const members = this.dependencies.peers.map((peer) => peer.member);
+    this.openRound = new LeaseVoteRound(roundId, requestedAtMs, members);
+    const sinceRevision = this.dependencies.replica.syncedRevision;
     for (const member of members) {
       const offset = this.mergedOffsets.get(member);
-      this.deps.transport.send(member, { kind: 'leaseVoteRequest', round, term, sinceRevision, offset });
+      this.dependencies.transport.send(member, {
+        kind: 'leaseVoteRequest',
+        round: roundId,
+        term,
+        sinceRevision,
+        offset,
+      });
     }
   }
 
-  /** Forgets the round: what still arrives of it counts for nothing. */
+  /** Abandons the open round. Messages of the round that arrive later are ignored. */
   abandonRound(): void {
-    this.round = undefined;
+    this.openRound = undefined;
   }
 
-  /** Handles a peer's vote. */
+  /** Counts the vote of a peer. */
   handleVote(member: string, vote: LeaseVote, term: LeadershipTerm): void {
-    const round = this.currentRound(vote, term);
+    const round = this.findOpenRound(vote, term);
     if (!round || !vote.isGranted) return;
-    if (round.recordVote(member)) term.authority.extend(round.requestedMs, LEASE_VOTE_MS, this.deps.nowMs());
-    this.recordMerged(round, member, round.recordTransfer(member, vote.transfer));
+    if (round.recordVote(member))
+      term.authority.extend(round.requestedAtMs, LEASE_VOTE_MS, this.dependencies.nowMs());
+    this.recordCancellationsMerged(round, member, round.recordTransfer(member, vote.transfer));
   }
 
-  /** Merges cancellations that a peer sends before its vote; a message with anything else in it is ignored. */
+  /** Merges the cancellations that a peer sends before its vote. A message that contains anything else is ignored. */
   handleCancellations(member: string, message: CancellationsMessage, term: LeadershipTerm): void {
-    const round = this.currentRound(message, term);
+    const round = this.findOpenRound(message, term);
     if (!round || !message.jobs.every(isValidCancelledJob)) return;
-    for (const keyValue of message.jobs) this.deps.replica.merge(keyValue);
-    this.recordMerged(round, member, round.recordCancellations(member));
+    for (const keyValue of message.jobs) this.dependencies.replica.merge(keyValue);
+    this.recordCancellationsMerged(round, member, round.recordCancellations(member));
   }
 
-  /** The open round if a message belongs to it. A late message to a former process of ours may bear the same number. */
-  private currentRound(
+  /**
+   * Returns the open round if the message belongs to it. The term is compared as well, because a late message to a former
+   * process of this controller may contain the same round number.
+   */
+  private findOpenRound(
     message: CancellationsMessage | LeaseVote,
     term: LeadershipTerm,
   ): LeaseVoteRound | undefined {
-    return term.fencingToken === message.term && this.round?.id === message.round ? this.round : undefined;
+    return term.fencingToken === message.term && this.openRound?.id === message.round
+      ? this.openRound
+      : undefined;
   }
 
-  /** Records that all cancellations of a peer up to an offset are in our replica. */
-  private recordMerged(round: LeaseVoteRound, member: string, offset: LogOffset | undefined): void {
+  /** Records that all cancellations of a peer up to an offset are in the local replica. */
+  private recordCancellationsMerged(
+    round: LeaseVoteRound,
+    member: string,
+    offset: LogOffset | undefined,
+  ): void {
     if (offset === undefined) return;
     this.mergedOffsets.set(member, offset);
-    if (round.recordComplete(member)) this.deps.watermark.advance(round.requestedMs);
+    if (round.recordCancellationsMerged(member)) this.dependencies.watermark.advance(round.requestedAtMs);
   }
 }
 
--- a/src/election/lease-vote-round.ts
+++ b/src/election/lease-vote-round.ts
@@ -1,59 +1,62 @@
-/** The count of one round of lease votes, free of clocks and input or output. */
+/** Counts the responses of a single round of lease votes. This module reads no clock and does no input or output. */
 import type { CancellationTransfer, LogOffset } from '../peers/peer-messages.js';
 
 /**
- * One round in which a leader that the state store does not serve asks all other controllers for their votes and for the
- * cancellations that they know. It tells what has become complete, in whatever order messages arrive.
+ * A round in which a leader that the state store does not serve asks all other controllers for their votes and for the
+ * cancellations that they know. The round detects when the votes and the cancellations are complete, in whatever order the
+ * messages arrive.
  */
 export class LeaseVoteRound {
-  /** Peers whose vote is outstanding. */
-  private readonly awaitingVote: Set<string>;
-  /** Peers whose cancellations are not all there. */
-  private readonly awaitingCancellations: Set<string>;
-  /** Number of messages of cancellations that arrived from each peer. */
-  private readonly receivedMessages = new Map<string, number>();
-  /** What each peer sends in all, as its vote says. */
-  private readonly transfers = new Map<string, CancellationTransfer>();
+  /** Names of the peers that have not granted their vote yet. */
+  private readonly membersWithoutVote: Set<string>;
+  /** Names of the peers of which not all cancellations have been merged yet. */
+  private readonly membersWithMissingCancellations: Set<string>;
+  /** Number of messages with cancellations that have arrived from each peer. */
+  private readonly receivedMessageCounts = new Map<string, number>();
+  /** The transfer that each peer announced with its vote. */
+  private readonly announcedTransfers = new Map<string, CancellationTransfer>();
 
   constructor(
-    /** Number of the round, unique within the process. */
+    /** Number of the round, which is unique within the process. */
     readonly id: number,
-    /** Steady ms at which the votes were requested: they count from then. */
-    readonly requestedMs: number,
+    /** Time on the steady clock, in milliseconds, at which the votes were requested and from which they count. */
+    readonly requestedAtMs: number,
     members: readonly string[],
   ) {
-    this.awaitingVote = new Set(members);
-    this.awaitingCancellations = new Set(members);
+    this.membersWithoutVote = new Set(members);
+    this.membersWithMissingCancellations = new Set(members);
   }
 
-  /** Records a granted vote; true when it makes the votes complete. */
+  /** Records a granted vote. Returns true if it completes the votes of all peers. */
   recordVote(member: string): boolean {
-    return this.awaitingVote.delete(member) && this.awaitingVote.size === 0;
+    return this.membersWithoutVote.delete(member) && this.membersWithoutVote.size === 0;
   }
 
   /**
-   * Records what a peer sends with its vote; undefined if it can't tell. Returns the end of the peer's log once all of its
-   * cancellations have arrived.
+   * Records the transfer that a peer announced with its vote, or undefined if the peer cannot tell which cancellations the
+   * leader lacks. Returns the end of the peer's log if all of its cancellations have arrived.
    */
   recordTransfer(member: string, transfer: CancellationTransfer | undefined): LogOffset | undefined {
-    if (transfer) this.transfers.set(member, transfer);
-    return this.completedOffset(member);
+    if (transfer) this.announcedTransfers.set(member, transfer);
+    return this.findCompletedOffset(member);
   }
 
-  /** Counts one message of cancellations; returns the same as `recordTransfer`. */
+  /** Counts a message with cancellations. Returns the same as `recordTransfer`. */
   recordCancellations(member: string): LogOffset | undefined {
-    this.receivedMessages.set(member, (this.receivedMessages.get(member) ?? 0) + 1);
-    return this.completedOffset(member);
+    this.receivedMessageCounts.set(member, (this.receivedMessageCounts.get(member) ?? 0) + 1);
+    return this.findCompletedOffset(member);
   }
 
-  /** Records that all cancellations of a peer are in our replica; true when those of all peers are. */
-  recordComplete(member: string): boolean {
-    return this.awaitingCancellations.delete(member) && this.awaitingCancellations.size === 0;
+  /** Records that all cancellations of a peer have been merged. Returns true if this completes those of all peers. */
+  recordCancellationsMerged(member: string): boolean {
+    return (
+      this.membersWithMissingCancellations.delete(member) && this.membersWithMissingCancellations.size === 0
+    );
   }
 
-  private completedOffset(member: string): LogOffset | undefined {
-    const transfer = this.transfers.get(member);
-    if (!transfer || (this.receivedMessages.get(member) ?? 0) < transfer.messageCount) return undefined;
+  private findCompletedOffset(member: string): LogOffset | undefined {
+    const transfer = this.announcedTransfers.get(member);
+    if (!transfer || (this.receivedMessageCounts.get(member) ?? 0) < transfer.messageCount) return undefined;
     return transfer.endOffset;
   }
 }
--- a/src/election/lease-voter.ts
+++ b/src/election/lease-voter.ts
@@ -1,4 +1,4 @@
-/** The followers' side of lease votes: grants them, and sends the cancellations that the leader lacks. */
+/** The followers' side of lease votes. It grants votes and sends the cancellations that the leader lacks. */
 import {
   CANCELLATION_LOG_IDS,
   CLOCK_DRIFT,
@@ -17,45 +17,51 @@
 import { decodeTerm } from '../state/term-record.js';
 import { CancellationLog } from './cancellation-log.js';
 
-/** Share of the largest frame that one message of cancellations fills, by the largest values that jobs may have. */
+/**
+ * Ratio of the size of one message with cancellations to the size limit of a frame, if all jobs have the largest value that
+ * the state store allows.
+ */
 const CANCELLATIONS_FRAME_SHARE = 1 / 4;
 
-/** Dependencies of the voter. */
+/** Dependencies of `LeaseVoter`. */
 export interface LeaseVoterDependencies {
   readonly storeClient: Pick<StoreClient, 'isFailing' | 'lastServedMs'>;
   readonly replica: Pick<StateReplica, 'get' | 'isLoaded' | 'linearizableRead'>;
   readonly transport: Pick<PeerTransport, 'send'>;
-  /** Steady ms. */
+  /** Returns the time of the steady clock in milliseconds. */
   readonly nowMs: () => number;
-  /** A source of randomness, from 0 to 1. */
+  /** Returns a random number from 0 to below 1. */
   readonly random: () => number;
-  /** Largest value of the state store, in bytes. */
+  /** Size limit of a value in the state store, in bytes. */
   readonly maxValueBytes: number;
-  /** Whether this controller neither leads nor campaigns. */
+  /** Returns whether this controller neither leads nor campaigns. */
   readonly isFollower: () => boolean;
-  /** Steady ms at which this process began, so that a former one was over; undefined: it had no peer to vote for. */
+  /**
+   * Time on the steady clock, in milliseconds, at which this process started, when any former process had ended. Undefined if
+   * there is no peer for which a former process could have voted.
+   */
   readonly processStartMs: number | undefined;
 }
 
 /**
- * Votes for a leader that the state store does not serve: this controller then does not campaign for a while. With a vote
- * it sends the cancellations that the leader lacks.
+ * Votes for a leader that the state store does not serve. A controller that granted its vote does not campaign for a while.
+ * It also sends the cancellations that the leader lacks.
  */
 export class LeaseVoter {
-  /** Steady ms until which granted votes keep this controller from campaigning. */
-  private boundUntilMs: number;
-  /** Steady ms at which a probe of the state store began that is still unanswered. */
-  private probeStartedMs: number | undefined;
-  /** The cancelled jobs in our replica. */
-  private readonly cancellations: CancellationLog;
+  /** Time on the steady clock, in milliseconds, until which granted votes keep this controller from campaigning. */
+  private grantedVotesEndAtMs: number;
+  /** Start time of the unanswered probe of the state store, if any, in milliseconds on the steady clock. */
+  private probeStartedAtMs: number | undefined;
+  /** The cancelled jobs in the local replica. */
+  private readonly cancellationLog: CancellationLog;
   private readonly jobsPerMessage: number;
 
-  constructor(private readonly deps: LeaseVoterDependencies) {
-    const { processStartMs, nowMs, random, maxValueBytes } = deps;
-    // A restarted controller does not know how its former process voted: it waits for the longest vote to end, counted from
-    // when this process began.
-    this.boundUntilMs = processStartMs === undefined ? nowMs() : voteEndMs(processStartMs);
-    this.cancellations = new CancellationLog(Math.floor(random() * CANCELLATION_LOG_IDS));
+  constructor(private readonly dependencies: LeaseVoterDependencies) {
+    const { processStartMs, nowMs, random, maxValueBytes } = dependencies;
+    // A restarted controller does not know how its former process voted. It waits as long as if that process had granted a
+    // vote when this process started.
+    this.grantedVotesEndAtMs = processStartMs === undefined ? nowMs() : computeVoteEndMs(processStartMs);
+    this.cancellationLog = new CancellationLog(Math.floor(random() * CANCELLATION_LOG_IDS));
     const jobBytes = maxValueBytes + KEY_VALUE_OVERHEAD_BYTES;
     this.jobsPerMessage = Math.max(
       1,
@@ -63,77 +69,83 @@
     );
   }
 
-  /** Steady ms before which this controller must not campaign. */
-  get earliestCampaignMs(): number {
-    return this.boundUntilMs;
+  /** Time on the steady clock, in milliseconds, before which this controller must not campaign. */
+  get earliestCampaignAtMs(): number {
+    return this.grantedVotesEndAtMs;
   }
 
-  /** Records a change of our replica; cancelled jobs enter the log. */
+  /** Appends the job to the cancellation log if a change of the local replica cancels it. */
   recordChange({ key, value, modRevision }: KeyChange): void {
-    if (isJobKey(key) && isCancelledJob(value)) this.cancellations.append(key, modRevision);
+    if (isJobKey(key) && isCancelledJob(value)) this.cancellationLog.append(key, modRevision);
   }
 
-  /** Answers a leader's request for a vote. */
+  /** Answers a vote request of a leader. */
   handleRequest(member: string, request: LeaseVoteRequest): void {
     const { round, term } = request;
-    if (!this.mayVote(term)) {
-      this.deps.transport.send(member, { kind: 'leaseVote', round, term, isGranted: false });
+    if (!this.shouldGrantVote(term)) {
+      this.dependencies.transport.send(member, { kind: 'leaseVote', round, term, isGranted: false });
       return;
     }
-    this.boundUntilMs = Math.max(this.boundUntilMs, voteEndMs(this.deps.nowMs()));
+    this.grantedVotesEndAtMs = Math.max(
+      this.grantedVotesEndAtMs,
+      computeVoteEndMs(this.dependencies.nowMs()),
+    );
     const transfer = this.sendCancellations(member, request);
-    this.deps.transport.send(member, { kind: 'leaseVote', round, term, isGranted: true, transfer });
+    this.dependencies.transport.send(member, { kind: 'leaseVote', round, term, isGranted: true, transfer });
   }
 
   /**
-   * Sends the cancellations that the leader lacks. Undefined if this controller can't tell which: a process whose replica is
-   * not loaded could miss what its former process confirmed to users.
+   * Sends the cancellations that the leader lacks. Returns undefined if this controller cannot tell which they are. A process
+   * whose replica is not loaded may not know cancellations that its former process confirmed to users.
    */
   private sendCancellations(
     member: string,
     { round, term, sinceRevision, offset }: LeaseVoteRequest,
   ): CancellationTransfer | undefined {
-    const { replica, transport } = this.deps;
+    const { replica, transport } = this.dependencies;
     const keys =
-      sinceRevision === undefined ? undefined : this.cancellations.keysAfter(offset, sinceRevision);
+      sinceRevision === undefined ? undefined : this.cancellationLog.listKeysAfter(offset, sinceRevision);
     if (!keys || !replica.isLoaded) return undefined;
     const jobs = keys.map((key) => replica.get(key)).filter((job) => job !== undefined);
     let messageCount = 0;
-    for (let from = 0; from < jobs.length; from += this.jobsPerMessage, messageCount++) {
-      const part = jobs.slice(from, from + this.jobsPerMessage);
-      transport.send(member, { kind: 'cancellations', round, term, jobs: part });
+    for (let start = 0; start < jobs.length; start += this.jobsPerMessage, messageCount++) {
+      const batch = jobs.slice(start, start + this.jobsPerMessage);
+      transport.send(member, { kind: 'cancellations', round, term, jobs: batch });
     }
-    return { messageCount, endOffset: this.cancellations.endOffset };
+    return { messageCount, endOffset: this.cancellationLog.endOffset };
   }
 
   /**
-   * Only a follower that the state store does not serve either may vote: with one that is served, the leader alone is cut
-   * off and must step down.
+   * Only a follower that the state store does not serve either may grant its vote. If the state store serves the follower,
+   * the leader alone is cut off and must step down.
    */
-  private mayVote(term: number): boolean {
-    const { storeClient, replica } = this.deps;
-    if (!this.deps.isFollower()) return false;
+  private shouldGrantVote(term: number): boolean {
+    const { storeClient, replica } = this.dependencies;
+    if (!this.dependencies.isFollower()) return false;
     if (decodeTerm(replica.get(TERM_KEY)?.value) > term) return false;
     if (storeClient.isFailing) return true;
-    if (this.deps.nowMs() - storeClient.lastServedMs <= STATE_FAILING_AFTER_MS) return false;
-    return this.isProbeUnanswered();
+    if (this.dependencies.nowMs() - storeClient.lastServedMs <= STATE_FAILING_AFTER_MS) return false;
+    return this.isProbeOverdue();
   }
 
-  /** Our watch may only have had nothing to report: probes the state store, unless a probe is under way. */
-  private isProbeUnanswered(): boolean {
-    const nowMs = this.deps.nowMs();
-    if (this.probeStartedMs === undefined) {
-      this.probeStartedMs = nowMs;
+  /**
+   * Whether a probe of the state store has been unanswered for too long. Starts a probe if none is in progress. The probe is
+   * needed because a long time without a response may only mean that the watch had no changes to report.
+   */
+  private isProbeOverdue(): boolean {
+    const nowMs = this.dependencies.nowMs();
+    if (this.probeStartedAtMs === undefined) {
+      this.probeStartedAtMs = nowMs;
       const endProbe = (): void => {
-        this.probeStartedMs = undefined;
+        this.probeStartedAtMs = undefined;
       };
-      this.deps.replica.linearizableRead().then(endProbe, endProbe);
+      this.dependencies.replica.linearizableRead().then(endProbe, endProbe);
     }
-    return nowMs - this.probeStartedMs > STATE_PROBE_TIMEOUT_MS;
+    return nowMs - this.probeStartedAtMs > STATE_PROBE_TIMEOUT_MS;
   }
 }
 
-/** When a vote granted now has surely ended, also by the clock of the leader that relies on it. */
-function voteEndMs(grantedMs: number): number {
-  return grantedMs + LEASE_VOTE_MS * (1 + CLOCK_DRIFT) + LEASE_VOTE_MARGIN_MS;
+/** Returns the time at which a vote granted at `grantedAtMs` has certainly ended, also by the clock of the leader. */
+function computeVoteEndMs(grantedAtMs: number): number {
+  return grantedAtMs + LEASE_VOTE_MS * (1 + CLOCK_DRIFT) + LEASE_VOTE_MARGIN_MS;
 }
--- a/src/election/node-zones.ts
+++ b/src/election/node-zones.ts
@@ -1,27 +1,32 @@
-/** How the nodes are spread over the zones, which decides who had better lead. */
+/** The distribution of the nodes over the zones, which decides which controllers should preferably lead. */
 import { MIN_NODES_TO_JUDGE, REMOTE_ZONE_NODE_SHARE } from '../constants.js';
 import { decodeNodeGroup, NODE_GROUPS_PREFIX } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 
-/** The number of nodes in each zone, by the records that leaders wrote. */
+/** The number of nodes in each zone, according to the node groups in the state store. */
 export class NodeZones {
-  private constructor(private readonly nodeCounts: ReadonlyMap<string, number>) {}
+  private constructor(private readonly nodeCountsByZone: ReadonlyMap<string, number>) {}
 
-  /** Counts the nodes in the replica of the state as it is now. */
+  /** Counts the nodes in the current content of the replica. */
   static fromReplica(replica: Pick<StateReplica, 'listPrefix'>): NodeZones {
-    const nodeCounts = new Map<string, number>();
+    const nodeCountsByZone = new Map<string, number>();
     for (const { value } of replica.listPrefix(NODE_GROUPS_PREFIX)) {
       const group = decodeNodeGroup(value);
-      if (group) nodeCounts.set(group.zone, (nodeCounts.get(group.zone) ?? 0) + group.nodeAddresses.size);
+      if (group)
+        nodeCountsByZone.set(group.zone, (nodeCountsByZone.get(group.zone) ?? 0) + group.nodeAddresses.size);
     }
-    return new NodeZones(nodeCounts);
+    return new NodeZones(nodeCountsByZone);
   }
 
-  /** Whether a zone has nearly no nodes: a leader there is cut off from all of them when the zones are from each other. */
+  /**
+   * Whether a zone has hardly any nodes compared with the largest zone. A leader in such a zone loses contact with nearly all
+   * nodes if the network between the zones fails.
+   */
   isRemote(zone: string): boolean {
-    const largest = Math.max(0, ...this.nodeCounts.values());
+    const largestNodeCount = Math.max(0, ...this.nodeCountsByZone.values());
     return (
-      largest >= MIN_NODES_TO_JUDGE && (this.nodeCounts.get(zone) ?? 0) <= largest * REMOTE_ZONE_NODE_SHARE
+      largestNodeCount >= MIN_NODES_TO_JUDGE &&
+      (this.nodeCountsByZone.get(zone) ?? 0) <= largestNodeCount * REMOTE_ZONE_NODE_SHARE
     );
   }
 }
--- a/src/election/peer-failure-detector.ts
+++ b/src/election/peer-failure-detector.ts
@@ -1,76 +1,85 @@
-/** Failure detection among controllers: who is alive, eligible to lead, and relays heartbeats to whom. */
+/**
+ * Failure detection among controllers. It tracks which peers are alive, which are eligible to lead, and to which leader each
+ * of them relays heartbeats.
+ */
 import { PEER_HEARTBEAT_MS } from '../constants.js';
 import type { StatusMessage } from '../peers/peer-messages.js';
 import type { Peer } from '../peers/peer-transport.js';
 
-/** ms without a message after which a peer is not alive; longer than `SUSPECT_AFTER_MS`, as nobody relies on it any more. */
+/**
+ * Milliseconds without a message after which a peer no longer counts as alive. This is longer than `SUSPECT_AFTER_MS` because
+ * a peer that is not alive is not used at all.
+ */
 const DEAD_AFTER_MS = 3 * PEER_HEARTBEAT_MS;
-/** ms without a message after which a peer is suspect: it may be cut off. */
+/** Milliseconds without a message after which a peer is suspect, because it may be cut off. */
 const SUSPECT_AFTER_MS = 2 * PEER_HEARTBEAT_MS;
 
-/** What the messages of the other controllers show of them. */
+/** Derives the state of the other controllers from their messages. */
 export class PeerFailureDetector {
-  /** Steady ms of the last message of each peer. */
-  private readonly lastMessages = new Map<string, number>();
-  /** Steady ms since when each peer is alive without a gap. */
-  private readonly aliveSince = new Map<string, number>();
-  /** Peers that declare that they could lead. */
-  private readonly eligible = new Set<string>();
-  /** The leader to which each peer would relay heartbeats. */
+  /** Time on the steady clock, in milliseconds, of the last message of each peer. */
+  private readonly lastMessageTimesMs = new Map<string, number>();
+  /** Time on the steady clock, in milliseconds, since which each peer has been alive without interruption. */
+  private readonly aliveSinceMs = new Map<string, number>();
+  /** Names of the peers that announce themselves as eligible to lead. */
+  private readonly eligibleMembers = new Set<string>();
+  /** The leader to which each peer relays heartbeats, or null if the peer reaches no leader. */
   private readonly relayTargets = new Map<string, string | null>();
 
   constructor(
     private readonly peers: readonly Peer[],
-    /** Steady ms. */
+    /** Returns the time of the steady clock in milliseconds. */
     private readonly nowMs: () => number,
   ) {}
 
-  /** Records that a message of any kind arrived: its sender is alive. */
+  /** Records that a message of any kind arrived, which shows that its sender is alive. */
   recordMessage(member: string): void {
     const nowMs = this.nowMs();
-    if (nowMs - this.lastMessageMs(member) > SUSPECT_AFTER_MS) this.aliveSince.set(member, nowMs);
-    this.lastMessages.set(member, nowMs);
+    if (nowMs - this.lastMessageMs(member) > SUSPECT_AFTER_MS) this.aliveSinceMs.set(member, nowMs);
+    this.lastMessageTimesMs.set(member, nowMs);
   }
 
-  /** Records what a peer declares of itself. */
+  /** Records the status that a peer announces. */
   recordStatus(member: string, { isEligible, relayTarget }: StatusMessage): void {
-    if (isEligible) this.eligible.add(member);
-    else this.eligible.delete(member);
+    if (isEligible) this.eligibleMembers.add(member);
+    else this.eligibleMembers.delete(member);
     this.relayTargets.set(member, relayTarget);
   }
 
-  /** Steady ms of a peer's last message; `-Infinity` before the first. */
+  /** Returns the time of a peer's last message in milliseconds on the steady clock, or `-Infinity` before the first one. */
   lastMessageMs(member: string): number {
-    return this.lastMessages.get(member) ?? -Infinity;
+    return this.lastMessageTimesMs.get(member) ?? -Infinity;
   }
 
-  /** Whether a peer sent a message lately. */
+  /** Whether a peer has recently sent a message. */
   isAlive(member: string): boolean {
     return this.nowMs() - this.lastMessageMs(member) < DEAD_AFTER_MS;
   }
 
   /** Whether at least one peer is alive. */
-  isAnyAlive(): boolean {
+  hasAlivePeer(): boolean {
     return this.peers.some((peer) => this.isAlive(peer.member));
   }
 
-  /** Whether at least one peer that is alive declares that it could lead. */
-  isAnyEligible(): boolean {
-    return [...this.eligible].some((member) => this.isAlive(member));
+  /** Whether at least one peer that is alive announces itself as eligible to lead. */
+  hasEligiblePeer(): boolean {
+    return [...this.eligibleMembers].some((member) => this.isAlive(member));
   }
 
-  /** Whether a peer declares that it could lead, is not suspect, and has been so for more than `durationMs`. */
+  /**
+   * Whether a peer announces itself as eligible to lead, is not suspect, and has been alive without interruption for more
+   * than `durationMs` milliseconds.
+   */
   isStablyEligible(member: string, durationMs: number): boolean {
     const nowMs = this.nowMs();
     return (
-      this.eligible.has(member) &&
-      nowMs - (this.aliveSince.get(member) ?? Infinity) > durationMs &&
+      this.eligibleMembers.has(member) &&
+      nowMs - (this.aliveSinceMs.get(member) ?? Infinity) > durationMs &&
       nowMs - this.lastMessageMs(member) < SUSPECT_AFTER_MS
     );
   }
 
-  /** Names of the peers of a zone that are the leader, or relay heartbeats to it; in a fixed order. */
-  heartbeatTargets(zone: string, leader: string): string[] {
+  /** Lists the names of the peers in a zone that are the leader or relay heartbeats to it, in a fixed order. */
+  listHeartbeatTargets(zone: string, leader: string): string[] {
     const acceptsHeartbeats = ({ member }: Peer): boolean =>
       this.isAlive(member) && (member === leader || this.relayTargets.get(member) === leader);
     return this.peers
--- a/src/election/status-announcer.ts
+++ b/src/election/status-announcer.ts
@@ -1,4 +1,6 @@
-/** The regular announcement to the peers whether this controller could lead, and to whom it relays heartbeats. */
+/**
+ * Regularly announces to the peers whether this controller is eligible to lead, and to which leader it relays heartbeats.
+ */
 import type { Clock } from '@pumicehinge/runtime';
 import { PEER_HEARTBEAT_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
@@ -7,31 +9,32 @@
 import type { LeaderView } from './leader-view.js';
 import type { PeerFailureDetector } from './peer-failure-detector.js';
 
-/** Dependencies of the announcer. */
+/** Dependencies of `StatusAnnouncer`. */
 export interface StatusAnnouncerDependencies {
   readonly peers: readonly Peer[];
   readonly transport: Pick<PeerTransport, 'send'>;
   readonly storeClient: Pick<StoreClient, 'isServed'>;
   readonly clock: Clock;
-  readonly view: LeaderView;
+  readonly leaderView: LeaderView;
   readonly failureDetector: PeerFailureDetector;
-  readonly schedule: CampaignSchedule;
+  readonly campaignSchedule: CampaignSchedule;
 }
 
 /** Announces the status of this controller to its peers. */
 export class StatusAnnouncer {
-  constructor(private readonly deps: StatusAnnouncerDependencies) {}
+  constructor(private readonly dependencies: StatusAnnouncerDependencies) {}
 
-  /** Announces now, and again at each heartbeat interval. */
+  /** Announces the status now and then once per heartbeat interval. */
   start(): void {
     this.announce();
-    this.deps.clock.after(PEER_HEARTBEAT_MS, () => this.start());
+    this.dependencies.clock.after(PEER_HEARTBEAT_MS, () => this.start());
   }
 
   private announce(): void {
-    const { peers, transport, storeClient, view, failureDetector, schedule } = this.deps;
-    const isEligible = storeClient.isServed && !schedule.isSteppedDown;
-    const leader = view.knownLeader();
+    const { peers, transport, storeClient, leaderView, failureDetector, campaignSchedule } =
+      this.dependencies;
+    const isEligible = storeClient.isServed && !campaignSchedule.hasRecentlySteppedDown;
+    const leader = leaderView.knownLeader();
     const relayTarget = leader !== undefined && failureDetector.isAlive(leader) ? leader : null;
     for (const peer of peers) transport.send(peer.member, { kind: 'status', isEligible, relayTarget });
   }
--- a/test/election/cancellation-log.test.ts
+++ b/test/election/cancellation-log.test.ts
@@ -3,16 +3,16 @@
 import { CANCELLATION_LOG_ENTRIES } from '../../src/constants.js';
 import { CancellationLog } from '../../src/election/cancellation-log.js';
 
-test('a cancellation log returns what a reader lacks, or that it does not reach back that far', () => {
+test('a cancellation log lists the keys that a reader lacks, or undefined if it may lack dropped ones', () => {
   const log = new CancellationLog(77);
-  const keys = (from: number, to: number): string[] =>
-    Array.from({ length: to - from + 1 }, (_, i) => `k${from + i}`);
+  const listKeys = (firstRevision: number, lastRevision: number): string[] =>
+    Array.from({ length: lastRevision - firstRevision + 1 }, (_, i) => `k${firstRevision + i}`);
   for (let revision = 1; revision < 5; revision++) log.append(`k${revision}`, revision);
-  const offset = log.endOffset;
-  // A write of our own, ahead of the watch, which then brings an earlier one of another controller.
+  const readOffset = log.endOffset;
+  // The local replica applies a write of its own controller before the watch delivers an earlier one of another controller.
   log.append('k6', 6);
   log.append('k5', 5);
-  const cases: [Parameters<CancellationLog['keysAfter']>, string[] | undefined][] = [
+  const cases: [Parameters<CancellationLog['listKeysAfter']>, string[] | undefined][] = [
     [
       [undefined, 0],
       ['k1', 'k2', 'k3', 'k4', 'k6', 'k5'],
@@ -23,18 +23,18 @@
     ],
     [[undefined, 6], []],
     [
-      [offset, 6],
+      [readOffset, 6],
       ['k6', 'k5'],
     ],
     [[log.endOffset, 0], []],
-    // Of a former process of ours.
+    // The offset belongs to the log of a former process.
     [[{ logId: 76, sequence: 6 }, 5], ['k6']],
   ];
-  for (const [query, expected] of cases) assert.deepEqual(log.keysAfter(...query), expected);
+  for (const [query, expected] of cases) assert.deepEqual(log.listKeysAfter(...query), expected);
   for (let revision = 7; revision <= 3 * CANCELLATION_LOG_ENTRIES; revision++)
     log.append(`k${revision}`, revision);
-  const last = 3 * CANCELLATION_LOG_ENTRIES;
-  assert.equal(log.keysAfter(undefined, 5), undefined);
-  assert.equal(log.keysAfter(offset, 5), undefined);
-  assert.deepEqual(log.keysAfter(undefined, last - 2), keys(last - 1, last));
+  const lastRevision = 3 * CANCELLATION_LOG_ENTRIES;
+  assert.equal(log.listKeysAfter(undefined, 5), undefined);
+  assert.equal(log.listKeysAfter(readOffset, 5), undefined);
+  assert.deepEqual(log.listKeysAfter(undefined, lastRevision - 2), listKeys(lastRevision - 1, lastRevision));
 });
--- a/test/election/cancellation-watermark.test.ts
+++ b/test/election/cancellation-watermark.test.ts
@@ -9,7 +9,7 @@
 } from '../../src/constants.js';
 import { CancellationWatermark, maxCancellationLagMs } from '../../src/election/cancellation-watermark.js';
 
-test('the settings bound how old a cancellation may get before every answering leader knows it', () => {
+test('the settings limit the age of a cancellation that a leader answering heartbeats may not know yet', () => {
   const cases: [cancelS: number, leaseS: number][] = [
     [39, 14],
     [35, 10],
@@ -19,15 +19,16 @@
   ];
   for (const [cancelS, leaseS] of cases) {
     const maxLagMs = maxCancellationLagMs(cancelS, leaseS);
-    // The worst chain: an answer without the cancellation at the last moment, delayed by a relay, then a whole lease on slow clocks.
-    const endedMs = leaseExpiryMs(maxLagMs + RELAY_RESPONSE_VALIDITY_MS, leaseS) * (1 + CLOCK_DRIFT);
-    assert.ok(endedMs < cancelS * 1000, `${cancelS} ${leaseS}: ${endedMs}`);
-    // Where the settings leave no time, a leader that may lack a cancellation does not answer at all.
+    // Worst case: an answer without the cancellation is sent at the last moment and delayed by a relay. The worker then runs
+    // its tasks for a whole lease on a slow clock.
+    const tasksEndedMs = leaseExpiryMs(maxLagMs + RELAY_RESPONSE_VALIDITY_MS, leaseS) * (1 + CLOCK_DRIFT);
+    assert.ok(tasksEndedMs < cancelS * 1000, `${cancelS} ${leaseS}: ${tasksEndedMs}`);
+    // If the settings leave no time, a leader that may not know a cancellation does not answer at all.
     assert.equal(maxLagMs > 0, cancelS > leaseS + 4, `${cancelS} ${leaseS}`);
   }
 });
 
-test('heartbeats are answered and tasks started only while the watermark is recent enough', () => {
+test('heartbeats are answered and tasks are started only while the watermark is recent enough', () => {
   const cases: [
     advancesMs: number[],
     nowMs: number,
@@ -36,7 +37,7 @@
   ][] = [
     [[], 0, false, [false, false]],
     [[1_000], 1_500, true, [true, true]],
-    // An earlier moment that is recorded later takes nothing away.
+    // Recording an earlier time does not move the watermark back.
     [[5_000, 1_000], 5_100, true, [true, true]],
     [[1_000], 1_000 + LEASE_VOTE_MS, true, [true, false]],
     [[1_000], 1_000 + START_CANCELLATION_LAG_MS, true, [false, false]],
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -19,9 +19,9 @@
 
 const MAX_CANCELLATION_LAG_MS = 20_000;
 
-type Probe = 'served' | 'refused' | 'silent';
+type ProbeResult = 'served' | 'refused' | 'unanswered';
 
-/** A state store that grants leases, applies every transaction, and fails to renew. */
+/** A state store that grants leases and applies every transaction, but fails each lease renewal. */
 function createStoreClient() {
   return {
     isFailing: false,
@@ -35,10 +35,10 @@
   };
 }
 
-/** A replica in which `leader` leads term 6; a read of the state store ends as `probe` says. */
+/** A replica in which `leader` leads term 6. A read of the state store ends as `probe` specifies. */
 function createReplica(
   leader: string | undefined,
-  probe: Probe,
+  probe: ProbeResult,
   clock: SimulatedClock,
   storeClient: ReturnType<typeof createStoreClient>,
 ) {
@@ -61,7 +61,7 @@
       for (const listener of listeners) listener(keyValue);
     },
     linearizableRead: () => {
-      if (probe === 'silent') return new Promise(() => undefined);
+      if (probe === 'unanswered') return new Promise(() => undefined);
       storeClient.isFailing = probe === 'refused';
       if (storeClient.isFailing) return Promise.reject(new Error('refused'));
       storeClient.lastServedMs = clock.steadyMs();
@@ -70,8 +70,8 @@
   };
 }
 
-/** One controller with a single peer; `leader` leads by the state store. */
-function setUp(leader: string | undefined, probe: Probe = 'served') {
+/** Creates the election of one controller with a single peer. `leader` is the leader according to the state store. */
+function createFixture(leader: string | undefined, probe: ProbeResult = 'served') {
   const clock = new SimulatedClock();
   const storeClient = createStoreClient();
   const replica = createReplica(leader, probe, clock, storeClient);
@@ -112,50 +112,56 @@
   };
 }
 
-test('a peer whose watch is only idle grants no vote, one that the state store fails does', async () => {
-  const cases: [probe: Probe, granted: boolean[]][] = [
+test('a voter with an idle watch grants its vote only if the state store does not serve a probe', async () => {
+  const cases: [probe: ProbeResult, expectedVotes: boolean[]][] = [
     ['served', [false, false, false]],
     ['refused', [false, true, true]],
-    ['silent', [false, true, true]],
+    ['unanswered', [false, true, true]],
   ];
-  for (const [probe, granted] of cases) {
-    const { clock, sent, receive } = setUp('c1', probe);
-    // Nothing changed in the state store for a while, so its watch had nothing to tell.
+  for (const [probe, expectedVotes] of cases) {
+    const { clock, sent, receive } = createFixture('c1', probe);
+    // Nothing has changed in the state store for a while, so the watch has received no response.
     await clock.runUntil(STATE_FAILING_AFTER_MS * 2);
-    for (let round = 1; round <= granted.length; round++) {
+    for (let round = 1; round <= expectedVotes.length; round++) {
       receive({ kind: 'leaseVoteRequest', round, term: 6 });
       await clock.runUntil(clock.steadyMs() + Math.max(LEASE_VOTE_REQUEST_MS, STATE_PROBE_TIMEOUT_MS + 1));
     }
     const votes = sent.flatMap((message) => (message.kind === 'leaseVote' ? [message.isGranted] : []));
-    assert.deepEqual(votes, granted, probe);
+    assert.deepEqual(votes, expectedVotes, probe);
   }
 });
 
-test('a vote counts for the term that requested it, not for that of a former process', async () => {
-  for (const [termsLate, extended] of [
+// Guards against counting a late vote that answers a request of a former process of this controller, in an earlier term.
+test('a vote extends the authority of the term that requested it, but not of a later term', async () => {
+  for (const [termsBehind, isExtended] of [
     [1, false],
     [0, true],
   ] as const) {
-    const { clock, storeClient, election, sent, receive, term } = setUp(undefined);
+    const { clock, storeClient, election, sent, receive, term } = createFixture(undefined);
     election.start();
     while (!term()) await clock.runUntil(clock.steadyMs() + 50);
-    const fromMs = clock.steadyMs();
+    const startMs = clock.steadyMs();
     storeClient.isFailing = true;
-    // Each request is answered at once; the last one shortly before the lease would have ended.
-    let answered = 0;
-    while (clock.steadyMs() < fromMs + LEADER_LEASE_TTL_MS - 400) {
+    // Each request is answered immediately, the last one shortly before the lease would have expired.
+    let answeredCount = 0;
+    while (clock.steadyMs() < startMs + LEADER_LEASE_TTL_MS - 400) {
       await clock.runUntil(clock.steadyMs() + 10);
       const requests = sent.filter((m) => m.kind === 'leaseVoteRequest');
-      for (const request of requests.slice(answered))
-        receive({ kind: 'leaseVote', round: request.round, term: request.term - termsLate, isGranted: true });
-      answered = requests.length;
+      for (const request of requests.slice(answeredCount))
+        receive({
+          kind: 'leaseVote',
+          round: request.round,
+          term: request.term - termsBehind,
+          isGranted: true,
+        });
+      answeredCount = requests.length;
     }
-    assert.ok(answered > 2, `${answered} requests`);
-    assert.equal(term()!.authority.isValid(fromMs + LEADER_LEASE_TTL_MS), extended);
+    assert.ok(answeredCount > 2, `${answeredCount} requests`);
+    assert.equal(term()!.authority.isValid(startMs + LEADER_LEASE_TTL_MS), isExtended);
   }
 });
 
-const cancelled = (uid: string, modRevision: number): KeyValue => ({
+const createCancelledJob = (uid: string, modRevision: number): KeyValue => ({
   key: jobKey(uid),
   value: encodeJob({
     phase: 'cancelled',
@@ -168,41 +174,46 @@
   modRevision,
 });
 
-test('a vote comes with the cancellations that the leader lacks, and with none where the voter may not know', async () => {
+test('a voter sends the cancellations that the leader lacks, and none if it may not know all of them', async () => {
   const cases: [
     name: string,
-    change: (set: ReturnType<typeof setUp>) => void,
+    prepare: (fixture: ReturnType<typeof createFixture>) => void,
     request: object,
     expectedJobs: number | undefined,
   ][] = [
-    ['requested from where the replica is complete', () => undefined, { sinceRevision: 11 }, 2],
-    ['nothing is missing', () => undefined, { sinceRevision: 13 }, 0],
-    ['a former version requests', () => undefined, {}, undefined],
     [
-      'our replica is not loaded',
+      'the leader requests from the revision up to which its replica is complete',
+      () => undefined,
+      { sinceRevision: 11 },
+      2,
+    ],
+    ['the leader lacks nothing', () => undefined, { sinceRevision: 13 }, 0],
+    ['a leader of a former version requests', () => undefined, {}, undefined],
+    [
+      'the replica of the voter is not loaded',
       ({ replica }) => (replica.isLoaded = false),
       { sinceRevision: 11 },
       undefined,
     ],
   ];
-  for (const [name, change, request, expectedJobs] of cases) {
-    const set = setUp('c1', 'refused');
+  for (const [name, prepare, request, expectedJobs] of cases) {
+    const fixture = createFixture('c1', 'refused');
     for (const revision of [10, 12, 13]) {
-      set.replica.merge(cancelled(`job-${revision}`, revision));
+      fixture.replica.merge(createCancelledJob(`job-${revision}`, revision));
     }
-    change(set);
-    await set.clock.runUntil(STATE_FAILING_AFTER_MS * 2);
-    set.storeClient.isFailing = true;
-    set.receive({ kind: 'leaseVoteRequest', round: 1, term: 6, ...request });
-    const vote = set.sent.find((m) => m.kind === 'leaseVote');
+    prepare(fixture);
+    await fixture.clock.runUntil(STATE_FAILING_AFTER_MS * 2);
+    fixture.storeClient.isFailing = true;
+    fixture.receive({ kind: 'leaseVoteRequest', round: 1, term: 6, ...request });
+    const vote = fixture.sent.find((m) => m.kind === 'leaseVote');
     assert.ok(vote?.isGranted, name);
-    const sent = set.sent.flatMap((m) => (m.kind === 'cancellations' ? m.jobs : []));
+    const sent = fixture.sent.flatMap((m) => (m.kind === 'cancellations' ? m.jobs : []));
     assert.equal(vote.transfer && sent.length, expectedJobs, name);
-    if (expectedJobs) assert.deepEqual(sent.at(-1), cancelled('job-13', 13));
-    // Requested again, the leader reads on from where it was.
+    if (expectedJobs) assert.deepEqual(sent.at(-1), createCancelledJob('job-13', 13));
+    // In the next round, the leader reads on from its offset.
     if (!vote.transfer) continue;
-    set.sent.length = 0;
-    set.receive({
+    fixture.sent.length = 0;
+    fixture.receive({
       kind: 'leaseVoteRequest',
       round: 2,
       term: 6,
@@ -210,58 +221,77 @@
       offset: vote.transfer.endOffset,
     });
     assert.deepEqual(
-      set.sent.map((m) => m.kind),
+      fixture.sent.map((m) => m.kind),
       ['leaseVote'],
       name,
     );
   }
 });
 
-test('the cancellation watermark advances only once all that comes with a vote is in the replica', async () => {
-  type Round = { parts: KeyValue[][]; messageCount: number | undefined; first: 'parts' | 'vote' };
-  const cases: [name: string, round: Round, merged: number, advances: boolean][] = [
-    ['nothing to send', { parts: [], messageCount: 0, first: 'parts' }, 0, true],
-    ['a part, then the vote', { parts: [[cancelled('job-1', 9)]], messageCount: 1, first: 'parts' }, 1, true],
+test('the cancellation watermark advances only after all cancellations announced with a vote are merged', async () => {
+  type VoteRound = {
+    jobBatches: KeyValue[][];
+    messageCount: number | undefined;
+    arrivesFirst: 'batches' | 'vote';
+  };
+  const cases: [name: string, round: VoteRound, mergedCount: number, isAdvanced: boolean][] = [
+    ['nothing to send', { jobBatches: [], messageCount: 0, arrivesFirst: 'batches' }, 0, true],
+    [
+      'a batch arrives before the vote',
+      { jobBatches: [[createCancelledJob('job-1', 9)]], messageCount: 1, arrivesFirst: 'batches' },
+      1,
+      true,
+    ],
     [
-      'the vote overtakes its part',
-      { parts: [[cancelled('job-1', 9)]], messageCount: 1, first: 'vote' },
+      'the vote arrives before its batch',
+      { jobBatches: [[createCancelledJob('job-1', 9)]], messageCount: 1, arrivesFirst: 'vote' },
       1,
       true,
     ],
     [
-      'one of two parts is lost',
-      { parts: [[cancelled('job-1', 9)]], messageCount: 2, first: 'parts' },
+      'one of two batches is lost',
+      { jobBatches: [[createCancelledJob('job-1', 9)]], messageCount: 2, arrivesFirst: 'batches' },
       1,
       false,
     ],
-    ['a former version sends nothing', { parts: [], messageCount: undefined, first: 'parts' }, 0, false],
     [
-      'a key that is no cancelled job is ignored',
-      { parts: [[{ ...cancelled('job-1', 9), key: LEADER_KEY }]], messageCount: 1, first: 'parts' },
+      'a voter of a former version sends no cancellations',
+      { jobBatches: [], messageCount: undefined, arrivesFirst: 'batches' },
+      0,
+      false,
+    ],
+    [
+      'a batch with a key that is not a cancelled job is ignored',
+      {
+        jobBatches: [[{ ...createCancelledJob('job-1', 9), key: LEADER_KEY }]],
+        messageCount: 1,
+        arrivesFirst: 'batches',
+      },
       0,
       false,
     ],
   ];
-  for (const [name, { parts, messageCount, first }, merged, advances] of cases) {
-    const set = setUp(undefined);
-    set.election.start();
-    while (!set.term()) await set.clock.runUntil(set.clock.steadyMs() + 50);
-    set.storeClient.isFailing = true;
-    const { fencingToken } = set.term()!;
+  for (const [name, { jobBatches, messageCount, arrivesFirst }, mergedCount, isAdvanced] of cases) {
+    const fixture = createFixture(undefined);
+    fixture.election.start();
+    while (!fixture.term()) await fixture.clock.runUntil(fixture.clock.steadyMs() + 50);
+    fixture.storeClient.isFailing = true;
+    const { fencingToken } = fixture.term()!;
     let request: PeerMessage | undefined;
-    while (!(request = set.sent.find((m) => m.kind === 'leaseVoteRequest')))
-      await set.clock.runUntil(set.clock.steadyMs() + 10);
+    while (!(request = fixture.sent.find((m) => m.kind === 'leaseVoteRequest')))
+      await fixture.clock.runUntil(fixture.clock.steadyMs() + 10);
     assert.ok(request.kind === 'leaseVoteRequest');
-    assert.equal(request.sinceRevision, set.replica.syncedRevision);
+    assert.equal(request.sinceRevision, fixture.replica.syncedRevision);
     const { round } = request;
     const transfer =
       messageCount === undefined ? undefined : { messageCount, endOffset: { logId: 1, sequence: 1 } };
     const term = fencingToken;
-    const messages: PeerMessage[] = parts.map((jobs) => ({ kind: 'cancellations', round, term, jobs }));
+    const messages: PeerMessage[] = jobBatches.map((jobs) => ({ kind: 'cancellations', round, term, jobs }));
     const vote: PeerMessage = { kind: 'leaseVote', round, term, isGranted: true, transfer };
-    for (const message of first === 'parts' ? [...messages, vote] : [vote, ...messages]) set.receive(message);
-    assert.equal(set.merged.length, merged, name);
-    assert.equal(set.watermark.mayAnswer(set.clock.steadyMs()), advances, name);
-    assert.ok(set.term()!.authority.isValid(set.clock.steadyMs()), name);
+    for (const message of arrivesFirst === 'batches' ? [...messages, vote] : [vote, ...messages])
+      fixture.receive(message);
+    assert.equal(fixture.merged.length, mergedCount, name);
+    assert.equal(fixture.watermark.mayAnswer(fixture.clock.steadyMs()), isAdvanced, name);
+    assert.ok(fixture.term()!.authority.isValid(fixture.clock.steadyMs()), name);
   }
 });
--- a/test/election/leadership-authority.test.ts
+++ b/test/election/leadership-authority.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import { LeadershipAuthority } from '../../src/election/leadership-authority.js';
 
-test('when a leader may answer workers', () => {
-  type Event = 'lease renewed' | 'votes granted' | 'revoked' | 'none';
-  type Step = [atMs: number, event: Event, requestedMs: number, isValid: boolean];
+test('a leader may answer workers only while its authority is valid', () => {
+  type AuthorityEvent = 'lease renewed' | 'votes granted' | 'revoked' | 'none';
+  type Step = [atMs: number, event: AuthorityEvent, requestedAtMs: number, isValid: boolean];
   const cases: [name: string, steps: Step[]][] = [
-    ['nothing renewed', [[0, 'none', 0, false]]],
+    ['no lease was renewed', [[0, 'none', 0, false]]],
     [
-      'counted from before the request',
+      'a renewal counts from the time of the request',
       [
         [900, 'lease renewed', 0, true],
         [2600, 'none', 0, true],
@@ -16,7 +16,7 @@
       ],
     ],
     [
-      'votes extend it',
+      'votes extend the authority',
       [
         [10, 'lease renewed', 0, true],
         [2500, 'votes granted', 2400, true],
@@ -25,21 +25,21 @@
       ],
     ],
     [
-      'votes do not revive it',
+      'votes do not revive an expired authority',
       [
         [10, 'lease renewed', 0, true],
         [3100, 'votes granted', 3050, false],
       ],
     ],
     [
-      'a renewed lease does, as nobody else could lead while it lived',
+      'a renewed lease revives an expired authority, as no other controller could lead meanwhile',
       [
         [10, 'lease renewed', 0, true],
         [4000, 'lease renewed', 3990, true],
       ],
     ],
     [
-      'votes do not revive a revoked one',
+      'votes do not revive a revoked authority',
       [
         [10, 'lease renewed', 0, true],
         [20, 'revoked', 0, false],
@@ -49,9 +49,9 @@
   ];
   for (const [name, steps] of cases) {
     const authority = new LeadershipAuthority();
-    for (const [atMs, event, requestedMs, isValid] of steps) {
-      if (event === 'lease renewed') authority.renew(requestedMs, 3000);
-      if (event === 'votes granted') authority.extend(requestedMs, 3000, atMs);
+    for (const [atMs, event, requestedAtMs, isValid] of steps) {
+      if (event === 'lease renewed') authority.renew(requestedAtMs, 3000);
+      if (event === 'votes granted') authority.extend(requestedAtMs, 3000, atMs);
       if (event === 'revoked') authority.revoke();
       assert.equal(authority.isValid(atMs), isValid, `${name} at ${atMs}`);
     }
