--- a/src/peers/peer-codec.ts
+++ b/src/peers/peer-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The words of the frames between controllers: the only module that knows them. Versions serve side by side while an upgrade
- * rolls, so the words stay, and so does whether a key without a value stands in a frame.
+ * Encodes and decodes the messages between controllers. Only this module knows the field names and values of the wire format.
+ * Different versions run side by side during a rolling upgrade, so the wire format must not change. This includes whether a
+ * frame contains a key that has no value.
  */
 import { assertNever } from '@pumicehinge/runtime';
 import type { KeyValue } from '../state/store-client.js';
@@ -17,13 +18,13 @@
 
 type Frame = Record<string, unknown>;
 
-/** A message in the words of the frames. */
+/** Encodes a message in the wire format. */
 export function encodePeerMessage(message: PeerMessage): unknown {
   switch (message.kind) {
     case 'counts':
     case 'relay':
     case 'relayed':
-      // The words are the same; not copied, as relayed heartbeats are frequent.
+      // The wire format of these messages is the same. They are not copied, because relayed heartbeats are frequent.
       return message;
     case 'heartbeat':
       return { kind: 'beat' };
@@ -76,8 +77,8 @@
 }
 
 /**
- * Reads an unpacked frame. Undefined for what is not a message that we know: it is ignored, as other versions may speak here.
- * Unknown fields are ignored, and a missing one is never taken as proof of anything.
+ * Decodes an unpacked frame. Returns undefined if it is not a known message. Such frames are ignored, because other versions
+ * may send them. Unknown fields are ignored too, and nothing is concluded from a missing field.
  */
 export function decodePeerMessage(frame: unknown): PeerMessage | undefined {
   if (!isObject(frame)) return undefined;
@@ -94,7 +95,7 @@
     case 'ask':
     case 'cancellations':
     case 'promise':
-      return decodeOfVoteRound(frame);
+      return decodeVoteRoundMessage(frame);
     default:
       return undefined;
   }
@@ -102,7 +103,9 @@
 
 function decodeRunningCounts({ running }: Frame): RunningCountsMessage | undefined {
   if (!isObject(running)) return undefined;
-  const counts = Object.entries(running).filter((entry): entry is [string, number] => isCount(entry[1]));
+  const counts = Object.entries(running).filter((entry): entry is [string, number] =>
+    isNonNegativeInteger(entry[1]),
+  );
   return { kind: 'counts', running: Object.fromEntries(counts) };
 }
 
@@ -112,14 +115,14 @@
 }
 
 function decodeRelay({ kind, id, status, body }: Frame): PeerMessage | undefined {
-  if (!isCount(id) || typeof body !== 'string') return undefined;
+  if (!isNonNegativeInteger(id) || typeof body !== 'string') return undefined;
   if (kind === 'relay') return { kind, id, body };
-  return isCount(status) ? { kind: 'relayed', id, status, body } : undefined;
+  return isNonNegativeInteger(status) ? { kind: 'relayed', id, status, body } : undefined;
 }
 
-function decodeOfVoteRound(frame: Frame): PeerMessage | undefined {
+function decodeVoteRoundMessage(frame: Frame): PeerMessage | undefined {
   const { kind, id: round, term } = frame;
-  if (!isCount(round) || !isCount(term)) return undefined;
+  if (!isNonNegativeInteger(round) || !isNonNegativeInteger(term)) return undefined;
   if (kind === 'ask') {
     const sinceRevision = isWireInt(frame.since) ? frame.since : undefined;
     return { kind: 'leaseVoteRequest', round, term, sinceRevision, offset: decodeOffset(frame.read) };
@@ -136,15 +139,18 @@
 function decodeTransfer(value: unknown): CancellationTransfer | undefined {
   if (!isObject(value)) return undefined;
   const endOffset = decodeOffset(value.at);
-  return endOffset && isCount(value.parts) ? { messageCount: value.parts, endOffset } : undefined;
+  return endOffset && isNonNegativeInteger(value.parts)
+    ? { messageCount: value.parts, endOffset }
+    : undefined;
 }
 
 function decodeOffset(value: unknown): LogOffset | undefined {
-  if (!isObject(value) || !isCount(value.log) || !isCount(value.seq)) return undefined;
+  if (!isObject(value) || !isNonNegativeInteger(value.log) || !isNonNegativeInteger(value.seq))
+    return undefined;
   return { logId: value.log, sequence: value.seq };
 }
 
-/** Undefined unless every element is well-formed. */
+/** Decodes a list of key-values. Returns undefined if any element is malformed. */
 function decodeKeyValues(values: unknown): KeyValue[] | undefined {
   if (!Array.isArray(values)) return undefined;
   const keyValues = values.map(decodeKeyValue);
@@ -156,6 +162,6 @@
   return { key: value.key, value: value.value, modRevision: value.stamp };
 }
 
-function isCount(value: unknown): value is number {
+function isNonNegativeInteger(value: unknown): value is number {
   return typeof value === 'number' && Number.isSafeInteger(value) && value >= 0;
 }
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -1,4 +1,4 @@
-/** The connection that this controller dials to one peer, and dials again whenever it is lost. */
+/** The outgoing connection of this controller to one peer, which is dialed again whenever it is lost. */
 import { Socket } from 'node:net';
 import type { Clock } from '@pumicehinge/runtime';
 import { PEER_HEARTBEAT_MS, PEER_IDLE_TIMEOUT_MS, PEER_RECONNECT_MS } from '../constants.js';
@@ -6,95 +6,102 @@
 import { encodePeerMessage } from './peer-codec.js';
 import { encodeFrame, FrameSender } from './peer-frames.js';
 
-/** Settings and dependencies of a connection. */
+/** Settings and dependencies of `PeerConnection`. */
 export interface PeerConnectionOptions {
-  /** Name of this controller, with which each connection begins. */
+  /** Name of this controller, which is sent at the start of each connection. */
   readonly ownMember: string;
   /** Host and port on which the peer listens. */
   readonly peerAddress: string;
-  /** Bytes that may wait to be sent. */
+  /** Maximum number of bytes that are buffered before they are sent. */
   readonly maxBufferedBytes: number;
   readonly clock: Clock;
 }
 
-/** One socket of the connection, which lives until it is closed. */
-interface Link {
+/** The state of one socket from the time it is dialed until it is closed. */
+interface SocketSession {
   readonly socket: Socket;
   readonly sender: FrameSender;
-  /** Steady ms at which the socket was connected; undefined before. */
-  connectedMs: number | undefined;
+  /** Time on the steady clock, in milliseconds, at which the socket was connected. Undefined before that. */
+  connectedAtMs: number | undefined;
   stopHeartbeats: () => void;
 }
 
-/** Sends messages to one peer. */
+/** Sends messages to one peer over a connection that is dialed again whenever it is lost. */
 export class PeerConnection {
   private sender: FrameSender | undefined;
-  private refused = false;
+  private wasRefused = false;
 
   constructor(private readonly options: PeerConnectionOptions) {}
 
-  /** Whether the peer's host refused the last attempt to connect. */
+  /** Whether the peer's host refused the most recent attempt to connect. */
   get isRefused(): boolean {
-    return this.refused;
+    return this.wasRefused;
   }
 
-  /** Sends a message in the words of the frames. False: it was dropped. */
+  /** Sends a message that is already encoded in the wire format. Returns false if the message was dropped. */
   send(message: unknown): boolean {
     return this.sender?.send(message) ?? false;
   }
 
-  /** Connects; called once. */
+  /** Opens the connection. Call this once; a lost connection is dialed again automatically. */
   dial(): void {
     const { peerAddress, maxBufferedBytes, clock } = this.options;
     const { host, port } = splitAddress(peerAddress);
     const socket = new Socket();
     const sender = new FrameSender(socket, maxBufferedBytes);
-    const link: Link = { socket, sender, connectedMs: undefined, stopHeartbeats: () => undefined };
+    const session: SocketSession = {
+      socket,
+      sender,
+      connectedAtMs: undefined,
+      stopHeartbeats: () => undefined,
+    };
     const cancelTimeout = clock.after(PEER_IDLE_TIMEOUT_MS, () => socket.destroy());
     socket.setNoDelay(true);
     socket.on('error', (error: NodeJS.ErrnoException) => {
-      this.refused = error.code === 'ECONNREFUSED';
+      this.wasRefused = error.code === 'ECONNREFUSED';
       socket.destroy();
     });
-    // Peers send nothing here, but their end of the connection is only seen by who reads.
+    // The peer sends no data on this connection. It is read all the same, because the socket would otherwise not report that
+    // the peer has closed it.
     socket.on('data', () => undefined);
     socket.on('connect', () => {
       cancelTimeout();
-      this.onConnected(link);
+      this.onConnected(session);
     });
     socket.on('close', () => {
       cancelTimeout();
-      this.onClosed(link);
+      this.onClosed(session);
     });
     socket.connect({ host, port });
   }
 
-  private onConnected(link: Link): void {
-    link.connectedMs = this.options.clock.steadyMs();
-    this.refused = false;
-    link.socket.write(encodeFrame({ member: this.options.ownMember }));
-    this.sender = link.sender;
-    this.sendHeartbeats(link);
+  private onConnected(session: SocketSession): void {
+    session.connectedAtMs = this.options.clock.steadyMs();
+    this.wasRefused = false;
+    session.socket.write(encodeFrame({ member: this.options.ownMember }));
+    this.sender = session.sender;
+    this.sendHeartbeats(session);
   }
 
-  private sendHeartbeats(link: Link): void {
+  private sendHeartbeats(session: SocketSession): void {
     this.send(encodePeerMessage({ kind: 'heartbeat' }));
-    link.stopHeartbeats = this.options.clock.after(PEER_HEARTBEAT_MS, () => this.sendHeartbeats(link));
+    session.stopHeartbeats = this.options.clock.after(PEER_HEARTBEAT_MS, () => this.sendHeartbeats(session));
   }
 
   /**
-   * A peer that was connected is dialled again at once: whether it refuses us tells a packet filter from a cut network. One that
-   * ends each connection as it comes (another program, or a host without free sockets) would keep us busy with nothing else.
+   * Dials the peer again. After a stable connection this happens at once, because the outcome (refused or not)
+   * distinguishes a packet filter from a network partition. Otherwise there is a pause. Without it, a peer that closes each connection
+   * immediately (another program, or a host without free sockets) would keep this controller busy with dialing.
    */
-  private onClosed(link: Link): void {
+  private onClosed(session: SocketSession): void {
     const { clock } = this.options;
-    link.stopHeartbeats();
-    const wasConnected = this.sender === link.sender;
+    session.stopHeartbeats();
+    const wasConnected = this.sender === session.sender;
     if (wasConnected) this.sender = undefined;
-    const lasted =
+    const wasStable =
       wasConnected &&
-      link.connectedMs !== undefined &&
-      clock.steadyMs() - link.connectedMs >= PEER_RECONNECT_MS;
-    clock.after(lasted ? 0 : PEER_RECONNECT_MS, () => this.dial());
+      session.connectedAtMs !== undefined &&
+      clock.steadyMs() - session.connectedAtMs >= PEER_RECONNECT_MS;
+    clock.after(wasStable ? 0 : PEER_RECONNECT_MS, () => this.dial());
   }
 }
--- a/src/peers/peer-errors.ts
+++ b/src/peers/peer-errors.ts
@@ -1,33 +1,33 @@
-/** Errors of the connections between controllers. */
+/** Errors on connections between controllers. */
 
-/** A connection to our port did not begin with the name of one of our peers. */
+/** Thrown when an incoming connection does not start with the name of a configured peer. */
 export class UnknownPeerError extends Error {
   override readonly name = 'UnknownPeerError';
 
-  /** `peerName`: what stood in place of a peer's name. */
+  /** Creates the error. `peerName` is the value received in place of a peer's name. */
   constructor(readonly peerName: unknown) {
-    super('not a peer');
+    super('the connection does not start with the name of a configured peer');
   }
 }
 
-/** A frame announces more bytes than any peer sends. */
+/** Thrown when the length at the start of a frame exceeds the size limit of frames. */
 export class PeerFrameTooLargeError extends Error {
   override readonly name = 'PeerFrameTooLargeError';
 
-  /** Lengths in bytes. */
+  /** Creates the error. Both lengths are in bytes. */
   constructor(
     readonly length: number,
     readonly maxLength: number,
   ) {
-    super(`peer frame too large: ${length} of at most ${maxLength} bytes`);
+    super(`peer frame is too large: ${length} bytes, but at most ${maxLength} bytes are allowed`);
   }
 }
 
-/** A frame can't be unpacked; `cause` says why. */
+/** Thrown when the body of a frame cannot be unpacked. `cause` is the error of the decoder. */
 export class MalformedPeerFrameError extends Error {
   override readonly name = 'MalformedPeerFrameError';
 
   constructor(cause: unknown) {
-    super('malformed peer frame', { cause });
+    super('peer frame is malformed', { cause });
   }
 }
--- a/src/peers/peer-frames.ts
+++ b/src/peers/peer-frames.ts
@@ -1,4 +1,4 @@
-/** Framing of the messages between controllers: a length of four bytes, then the message as msgpackr packs it. */
+/** Framing of the messages between controllers. A frame is a length of four bytes and the message as msgpackr packs it. */
 import type { Writable } from 'node:stream';
 import { pack, unpack } from 'msgpackr';
 import { MAX_PEER_FRAME_BYTES } from '../constants.js';
@@ -6,7 +6,7 @@
 
 const LENGTH_BYTES = 4;
 
-/** One message, already in the words of the frames, with its length before it. */
+/** Encodes a message that is already in the wire format as a frame. */
 export function encodeFrame(message: unknown): Buffer {
   const body = pack(message);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -15,18 +15,18 @@
   return frame;
 }
 
-/** Collects bytes as they arrive, and splits them into messages. */
+/** Collects bytes as they arrive and splits them into messages. */
 export class FrameReader {
   private buffer: Buffer = Buffer.alloc(0);
 
   /**
-   * Returns the messages that `data` completes, unpacked.
+   * Returns the unpacked messages that `chunk` completes.
    *
-   * @throws PeerFrameTooLargeError when a frame is larger than any peer sends
-   * @throws MalformedPeerFrameError when a frame can't be unpacked
+   * @throws PeerFrameTooLargeError if a frame exceeds the size limit
+   * @throws MalformedPeerFrameError if the body of a frame cannot be unpacked
    */
-  feed(data: Buffer): unknown[] {
-    this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
+  feed(chunk: Buffer): unknown[] {
+    this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
     const messages: unknown[] = [];
     let offset = 0;
     while (this.buffer.length - offset >= LENGTH_BYTES) {
@@ -51,38 +51,38 @@
 }
 
 /**
- * Sends messages to one peer. Messages of one turn of the event loop leave in one write: hundreds of relayed heartbeats a
- * second would otherwise cost a system call and a packet each, in both directions.
+ * Sends messages to one peer. All messages of one turn of the event loop are sent in a single write. Otherwise, each of
+ * hundreds of relayed heartbeats per second would cost a system call and a packet in both directions.
  */
 export class FrameSender {
-  private pending: Buffer[] = [];
+  private pendingFrames: Buffer[] = [];
   private pendingBytes = 0;
 
   constructor(
     private readonly socket: Writable,
-    /** Bytes that may wait for a slow peer. */
+    /** Maximum number of bytes that are buffered for a slow peer. */
     private readonly maxBufferedBytes: number,
   ) {}
 
   /**
-   * Sends a message, already in the words of the frames. False: the peer reads too slowly and the message was dropped, so that
-   * the peer does not fill our memory; every message is repeated anyway.
+   * Sends a message that is already encoded in the wire format. If the peer reads too slowly, the message is dropped and the
+   * result is false, so that the buffer does not grow without bound. Every message is repeated anyway.
    */
   send(message: unknown): boolean {
     if (this.socket.writableLength + this.pendingBytes >= this.maxBufferedBytes) return false;
     const frame = encodeFrame(message);
-    if (this.pending.length === 0) setImmediate(() => this.flush());
-    this.pending.push(frame);
+    if (this.pendingFrames.length === 0) setImmediate(() => this.flush());
+    this.pendingFrames.push(frame);
     this.pendingBytes += frame.length;
     return true;
   }
 
   private flush(): void {
-    const frames = this.pending;
-    this.pending = [];
+    const frames = this.pendingFrames;
+    this.pendingFrames = [];
     this.pendingBytes = 0;
     if (this.socket.destroyed) return;
-    const [first] = frames;
-    this.socket.write(frames.length === 1 && first ? first : Buffer.concat(frames));
+    const [firstFrame] = frames;
+    this.socket.write(frames.length === 1 && firstFrame ? firstFrame : Buffer.concat(frames));
   }
 }
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -1,36 +1,36 @@
 /**
- * The messages between controllers, in the terms of the code. Former and later versions may say less or more: the codec
- * (peer-codec.ts) maps the messages to the words of the frames.
+ * The messages between controllers. The codec (peer-codec.ts) maps them to the wire format. Other versions may send fewer or
+ * more fields.
  */
 import type { KeyValue } from '../state/store-client.js';
 import type { WireInt } from '../wire/json.js';
 
-/** How far a reader has read the cancellation log of a controller. */
+/** The position up to which a reader has read the cancellation log of a controller. */
 export interface LogOffset {
-  /** The log, which lives as long as the process that writes it. */
+  /** Number of the log. Each process writes a log of its own. */
   readonly logId: number;
-  /** Sequence number of the last entry that was read. */
+  /** Sequence number of the last entry that has been read. */
   readonly sequence: number;
 }
 
-/** The cancellations that a voter sends before its vote. */
+/** Describes the cancellations that a voter has sent before its vote. */
 export interface CancellationTransfer {
-  /** Number of messages over which they are spread. */
+  /** Number of messages that contain the cancellations. */
   readonly messageCount: number;
-  /** End of the voter's log once all of them are read. */
+  /** Offset in the voter's log of a reader that has received all of these messages. */
   readonly endOffset: LogOffset;
 }
 
-/** From the leader to all: running tasks of each job, for display. */
+/** Sent by the leader to all peers: the number of running tasks of each job, which is shown to users. */
 export interface RunningCountsMessage {
   readonly kind: 'counts';
-  /** Number of running tasks by the job's uid. */
+  /** Number of running tasks by job uid. */
   readonly running: Record<string, number>;
 }
 
 /**
- * From the leader to all while the state store fails: a request not to campaign for a while, and for the cancellations that
- * the leader lacks. A former version names neither the revision nor the offset.
+ * Sent by the leader to all peers while the state store fails. It asks the receiver not to campaign for a while, and to
+ * send the cancellations that the leader lacks. A former version sends neither the revision nor the offset.
  */
 export interface LeaseVoteRequest {
   readonly kind: 'leaseVoteRequest';
@@ -40,11 +40,11 @@
   readonly term: number;
   /** Revision up to which the leader's replica is complete. */
   readonly sinceRevision?: WireInt | undefined;
-  /** How far the leader has read the receiver's cancellation log. */
+  /** Offset up to which the leader has read the receiver's cancellation log. */
   readonly offset?: LogOffset | undefined;
 }
 
-/** From a voter to the leader, before its vote: jobs that are cancelled in the voter's replica. */
+/** Sent by a voter to the leader before its vote: jobs that are cancelled according to the voter's replica. */
 export interface CancellationsMessage {
   readonly kind: 'cancellations';
   /** Number of the round of votes. */
@@ -55,30 +55,30 @@
   readonly jobs: readonly KeyValue[];
 }
 
-/** From a voter to the leader: the answer to a request. */
+/** Sent by a voter to the leader in response to a vote request. */
 export interface LeaseVote {
   readonly kind: 'leaseVote';
   /** Number of the round of votes. */
   readonly round: number;
   /** The leader's term. */
   readonly term: number;
-  /** Whether the voter will not campaign for a while. */
+  /** Whether the voter grants its vote, and therefore does not campaign for a while. */
   readonly isGranted: boolean;
-  /** What the voter sends with its vote. Missing: it proves nothing about what the voter knows. */
+  /** The cancellations that the voter has sent. Without it, the voter may know cancellations that the leader lacks. */
   readonly transfer?: CancellationTransfer | undefined;
 }
 
-/** From each controller to all, regularly: what the sender declares of itself. */
+/** Sent regularly by each controller to all peers: the status of the sender. */
 export interface StatusMessage {
   readonly kind: 'status';
-  /** Whether the sender could lead: the state store serves it, and it did not step down lately. */
+  /** Whether the sender could lead: the state store serves it, and it did not step down recently. */
   readonly isEligible: boolean;
-  /** The leader to which the sender would relay heartbeats; null: there is none that it reaches. */
+  /** The leader to which the sender relays heartbeats, or null if it reaches no leader. */
   readonly relayTarget: string | null;
 }
 
-/** From a relay to the leader: the heartbeat of a worker. */
-export interface RelayMessage {
+/** Sent by a relay to the leader: the heartbeat of a worker. */
+export interface RelayRequestMessage {
   readonly kind: 'relay';
   /** Number of the heartbeat, unique within the relay's process. */
   readonly id: number;
@@ -86,18 +86,18 @@
   readonly body: string;
 }
 
-/** From the leader to a relay: the answer to a relayed heartbeat. */
-export interface RelayedMessage {
+/** Sent by the leader to a relay: the response to a relayed heartbeat. */
+export interface RelayResponseMessage {
   readonly kind: 'relayed';
   /** Number of the heartbeat. */
   readonly id: number;
-  /** HTTP status for the worker. */
+  /** HTTP status of the response to the worker. */
   readonly status: number;
-  /** Body for the worker. */
+  /** Body of the response to the worker. */
   readonly body: string;
 }
 
-/** From each controller to all, regularly: the sender is alive. */
+/** Sent regularly by each controller to all peers to show that the sender is alive. */
 export interface PeerHeartbeat {
   readonly kind: 'heartbeat';
 }
@@ -109,6 +109,6 @@
   | CancellationsMessage
   | LeaseVote
   | StatusMessage
-  | RelayMessage
-  | RelayedMessage
+  | RelayRequestMessage
+  | RelayResponseMessage
   | PeerHeartbeat;
--- a/src/peers/peer-transport.ts
+++ b/src/peers/peer-transport.ts
@@ -1,4 +1,4 @@
-/** The transport between controllers: its interface, and the one over TCP. */
+/** The transport of messages between controllers: its interface and the implementation over TCP. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
@@ -11,43 +11,43 @@
 import { FrameReader } from './peer-frames.js';
 import type { PeerMessage } from './peer-messages.js';
 
-/** Another controller, by the settings. */
+/** Another controller, as configured in the settings. */
 export interface Peer {
-  /** Its name. */
+  /** Name of the controller. */
   readonly member: string;
-  /** Its zone. */
+  /** Zone of the controller. */
   readonly zone: string;
-  /** Host and port on which it listens for peers. */
+  /** Host and port on which the controller listens for peers. */
   readonly address: string;
 }
 
 /** Receives a message and the name of the controller that sent it. */
 export type PeerMessageListener = (member: string, message: PeerMessage) => void;
 
-/** The transport to the other controllers: the real one over TCP, a simulated one in tests. */
+/** The transport to the other controllers. The service uses TCP, and tests use a simulated transport. */
 export interface PeerTransport {
-  /** Sends a message. False: it was dropped, as the peer is not connected or reads too slowly. */
+  /** Sends a message. Returns false if it was dropped because the peer is not connected or reads too slowly. */
   send(member: string, message: PeerMessage): boolean;
-  /** Whether the peer's host answers but refuses connections: then the network is not cut. */
+  /** Returns whether the peer's host is reachable but refuses connections, so that there is no network partition. */
   refusesConnections(member: string): boolean;
   /** Adds a listener; listeners are called in the order in which they were added. */
   onMessage(listener: PeerMessageListener): void;
 }
 
-/** Settings and dependencies of the transport over TCP. */
+/** Settings and dependencies of `TcpPeerTransport`. */
 export interface TcpPeerTransportOptions {
   /** Name of this controller. */
   readonly member: string;
   readonly peers: readonly Peer[];
-  /** Bytes that may wait to be sent to one peer. */
+  /** Maximum number of bytes that are buffered per peer before they are sent. */
   readonly maxBufferedBytes: number;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
 /**
- * Each controller dials each other one, and sends on the connections that it dialled. What can't be sent at once is dropped,
- * as every message is repeated.
+ * The transport over TCP. Each controller dials every other controller and sends on the connections that it dialed. A message
+ * that cannot be sent or buffered is dropped, because every message is repeated.
  */
 export class TcpPeerTransport implements PeerTransport {
   private readonly connections = new Map<string, PeerConnection>();
@@ -61,33 +61,33 @@
     this.listeners.push(listener);
   }
 
-  /** Whether the last attempt to connect was refused. */
+  /** Returns whether the peer's host refused the most recent attempt to connect. */
   refusesConnections(member: string): boolean {
     return this.connections.get(member)?.isRefused ?? false;
   }
 
-  /** Sends a message. False: it was dropped, as the peer is not connected or reads too slowly. */
+  /** Sends a message. Returns false if it was dropped because the peer is not connected or reads too slowly. */
   send(member: string, message: PeerMessage): boolean {
     return this.connections.get(member)?.send(encodePeerMessage(message)) ?? false;
   }
 
-  /** Listens on a host and port, and begins to dial the peers. Rejects when the port can't be opened. */
+  /** Listens on a host and port and starts to dial the peers. Rejects if the port cannot be opened. */
   listen(address: string): Promise<void> {
     const { host, port } = splitAddress(address);
-    const server = (this.server = createServer((socket) => this.accept(socket)));
-    for (const peer of this.options.peers) this.connect(peer);
+    const server = (this.server = createServer((socket) => this.acceptConnection(socket)));
+    for (const peer of this.options.peers) this.connectTo(peer);
     return new Promise((resolve, reject) => {
       server.once('error', reject);
       server.listen({ host, port }, resolve);
     });
   }
 
-  /** Accepts no further connections; those that are open stay. */
+  /** Stops accepting connections. Open connections stay open. */
   close(): void {
     this.server?.close();
   }
 
-  private connect(peer: Peer): void {
+  private connectTo(peer: Peer): void {
     const { member, maxBufferedBytes, clock } = this.options;
     const connection = new PeerConnection({
       ownMember: member,
@@ -99,36 +99,36 @@
     connection.dial();
   }
 
-  private accept(socket: Socket): void {
-    const frames = new FrameReader();
-    let member: string | undefined;
+  private acceptConnection(socket: Socket): void {
+    const frameReader = new FrameReader();
+    let peerName: string | undefined;
     socket.setNoDelay(true);
     socket.setTimeout(PEER_IDLE_TIMEOUT_MS, () => socket.destroy());
     socket.on('error', () => socket.destroy());
     socket.on('data', (data: Buffer) => {
       try {
-        for (const frame of frames.feed(data)) {
-          if (member === undefined) member = this.readName(frame);
-          else this.receive(member, frame);
+        for (const frame of frameReader.feed(data)) {
+          if (peerName === undefined) peerName = this.readPeerName(frame);
+          else this.receiveFrame(peerName, frame);
         }
       } catch (error) {
-        this.options.log.error({ err: error }, 'invalid peer data received');
+        this.options.log.error({ err: error }, 'invalid data received from a peer; connection closed');
         socket.destroy();
       }
     });
   }
 
-  /** The name of the peer with which each connection begins. */
-  private readName(frame: unknown): string {
+  /** Reads the first frame of a connection, which contains the name of the peer. */
+  private readPeerName(frame: unknown): string {
     const name = isObject(frame) ? frame.member : undefined;
     const peer = this.options.peers.find(({ member }) => member === name);
     if (!peer) throw new UnknownPeerError(name);
     return peer.member;
   }
 
-  private receive(member: string, frame: unknown): void {
+  private receiveFrame(member: string, frame: unknown): void {
     const message = decodePeerMessage(frame);
     if (message) for (const listener of this.listeners) listener(member, message);
-    else this.options.log.debug({ member }, 'unknown peer message ignored');
+    else this.options.log.debug({ member }, 'unknown message from a peer ignored');
   }
 }
--- a/test/peers/peer-codec.test.ts
+++ b/test/peers/peer-codec.test.ts
@@ -4,8 +4,8 @@
 import { decodePeerMessage, encodePeerMessage } from '../../src/peers/peer-codec.js';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 
-test('each message between controllers is read as it was sent', () => {
-  const known: PeerMessage[] = [
+test('each kind of message is decoded as it was encoded', () => {
+  const messages: PeerMessage[] = [
     { kind: 'heartbeat' },
     { kind: 'counts', running: { 'job-1': 3 } },
     { kind: 'status', isEligible: true, relayTarget: 'c1' },
@@ -23,11 +23,11 @@
     },
     { kind: 'leaseVote', round: 1, term: 2, isGranted: false, transfer: undefined },
   ];
-  for (const message of known)
+  for (const message of messages)
     assert.deepEqual(decodePeerMessage(unpack(pack(encodePeerMessage(message)))), message);
 });
 
-test('frames that are malformed, truncated or of unknown kind are ignored', () => {
+test('messages that are malformed, incomplete or of an unknown kind are ignored', () => {
   const malformed: unknown[] = [
     ...[
       undefined,
@@ -55,7 +55,7 @@
     assert.equal(decodePeerMessage(message), undefined, JSON.stringify(message));
 });
 
-test('a missing or malformed transfer proves nothing about what a voter knows', () => {
+test('a vote with a missing or malformed transfer is decoded without a transfer', () => {
   for (const informs of [undefined, 1, {}, { parts: 1 }, { parts: -1, at: { log: 1, seq: 1 } }, { at: {} }])
     assert.deepEqual(decodePeerMessage({ kind: 'promise', id: 1, term: 2, given: true, informs }), {
       kind: 'leaseVote',
--- a/test/peers/peer-transport.test.ts
+++ b/test/peers/peer-transport.test.ts
@@ -8,31 +8,31 @@
 import { MAX_PEER_FRAME_BYTES, PEER_RECONNECT_MS } from '../../src/constants.js';
 import { TcpPeerTransport } from '../../src/peers/peer-transport.js';
 
-// A host that took each connection and ended it at once was dialled without a pause: half of a process' time went there.
-test('a peer that ends each connection as it comes is dialled again after a pause, one whose connection lasted at once', async () => {
-  for (const [lastedMs, redialMs] of [
+// Guards against redialing, without a pause, a host that closes each connection at once. That took half of a process's time.
+test('a peer is dialed again at once after a stable connection, and after a pause otherwise', async () => {
+  for (const [connectionMs, expectedDelayMs] of [
     [0, PEER_RECONNECT_MS],
     [PEER_RECONNECT_MS - 1, PEER_RECONNECT_MS],
     [PEER_RECONNECT_MS, 0],
   ] as const) {
     let nowMs = 0;
-    const redialsMs: number[] = [];
+    const redialDelaysMs: number[] = [];
     const clock: Clock = {
       steadyMs: () => nowMs,
       wallMs: () => nowMs,
       after: (ms, run) => {
-        if (/dial/.test(run.toString())) redialsMs.push(ms);
+        if (/dial/.test(run.toString())) redialDelaysMs.push(ms);
         return () => undefined;
       },
     };
-    const host = createServer((socket) => {
+    const server = createServer((socket) => {
       socket.on('data', () => {
-        nowMs = lastedMs;
+        nowMs = connectionMs;
         socket.destroy();
       });
     }).listen(0, '127.0.0.1');
-    await once(host, 'listening');
-    const { port } = host.address() as AddressInfo;
+    await once(server, 'listening');
+    const { port } = server.address() as AddressInfo;
     const peer = { member: 'b', zone: 'z', address: `127.0.0.1:${port}` };
     const transport = new TcpPeerTransport({
       member: 'a',
@@ -42,9 +42,9 @@
       log: pino({ level: 'silent' }),
     });
     await transport.listen('127.0.0.1:0');
-    while (redialsMs.length === 0) await setImmediate();
-    assert.deepEqual(redialsMs, [redialMs], `lasted ${lastedMs} ms`);
+    while (redialDelaysMs.length === 0) await setImmediate();
+    assert.deepEqual(redialDelaysMs, [expectedDelayMs], `connection of ${connectionMs} ms`);
     transport.close();
-    host.close();
+    server.close();
   }
 });
