--- a/test/runbook.test.ts
+++ b/test/runbook.test.ts
@@ -7,7 +7,7 @@
 /** A log line that an operator looks for must be one that the program writes: the runbook would mislead otherwise. */
 const PAGES = ['docs/operations.md', 'docs/duties-operators.md'];
 /** A quotation of several words, as log lines are; settings, paths, fields and commands are quoted in other forms. */
-const LOG_LINE = /^[a-z][a-z-]*(?:,? [a-z][a-z-]*)+$/;
+const LOG_LINE = /^[a-z][a-z-]*(?:[,;]? [a-z][a-z-]*)+$/;
 /** Fewest log lines that the runbook quotes: a change of its form must not leave the test without any. */
 const MIN_QUOTED_LINES = 40;
 
