--- a/src/cluster/attempt.ts
+++ b/src/cluster/attempt.ts
@@ -1,10 +1,10 @@
 /**
- * One start of a task on one node. Its state changes by the named transitions of `Attempt` alone.
+ * An attempt is one start of a task on one node. Its state changes only through the transition methods of `Attempt`.
  */
 import type { Job as PipelineJob } from '../pipeline/job.js';
 import type { WireInt } from '../wire/json.js';
 import type { ExitCause, TaskState } from './worker-messages.js';
-import type { DirectStart } from './lease-rules.js';
+import type { DirectStartState } from './lease-rules.js';
 import type { Node } from './node.js';
 import { NO_RESOURCES, type Resources } from './resources.js';
 
@@ -12,53 +12,66 @@
 export type Job = PipelineJob<Attempt>;
 
 /**
- * `planned`: no start command was sent yet. `sent`: one was sent, and no heartbeat has listed the attempt since. The others
- * are the worker's own words for it.
+ * The state of an attempt.
+ *
+ * - `planned`: No start command was sent yet.
+ * - `sent`: A start command was sent, and no heartbeat has listed the attempt since.
+ * - The other states are those that the worker reports.
  */
 export type AttemptState = 'planned' | 'sent' | TaskState;
 
-/** What identifies an attempt, and the job it belongs to. */
+/** The identity of an attempt, and the job that it belongs to. */
 export interface AttemptIdentity {
-  /** Undefined: a worker lists a task of a job that is not known here. */
+  /** Undefined if a worker lists a task of a job that is not known here. */
   readonly job: Job | undefined;
   readonly jobUid: string;
-  /** The task's position in its job, from 0. */
+  /** Index of the task within its job, starting at 0. */
   readonly index: number;
-  /** Unique among all attempts of all terms; its high bits are the term. */
+  /**
+   * The number of the attempt, which is unique among all attempts of all terms. Its high bits are the number of the
+   * term.
+   */
   readonly number: WireInt;
   readonly node: Node;
 }
 
-/** One start of a task on one node, from the decision until it is known to be over. */
+/** One start of a task on one node, from the scheduling decision until the attempt is known to have ended. */
 export interface Attempt extends AttemptIdentity {
-  /** What it takes of its node and of its team's quota. */
+  /** Resources that the attempt takes from its node and from the quota of its team. */
   readonly resources: Resources;
   readonly state: AttemptState;
-  /** The sequence number of the heartbeat whose response carried the start command; 0: none was sent. */
-  readonly sentSequence: WireInt;
-  /** Steady ms at which the start command was sent; -Infinity: none was sent. */
+  /** Sequence number of the heartbeat whose response carried the start command. 0 if no start command was sent. */
+  readonly startSentSequence: WireInt;
+  /** Steady time in ms at which the start command was sent. -Infinity if none was sent. */
   readonly sentMs: number;
-  /** Steady ms at which it was first seen running; until then, at which it was planned. */
+  /** Steady time in ms at which the attempt was first seen running. Until then, the time at which it was planned. */
   readonly startedMs: number;
-  /** Undefined: it is to go on running. */
+  /** The request to stop the attempt. Undefined if the attempt should keep running. */
   readonly stopRequest: { readonly gracePeriodS: number } | undefined;
-  /** Why it ended; undefined while it has not. */
+  /** Why the attempt exited. Undefined while it has not exited. */
   readonly exitCause: ExitCause | undefined;
-  readonly directStart: DirectStart;
+  /** State of the call that sends the start command directly to the worker. */
+  readonly directStart: DirectStartState;
 
-  /** A start command was sent, with the response to the heartbeat of this sequence number or after it. */
+  /** Records that a start command was sent, in the response to the heartbeat with this sequence number or later. */
   markStartSent(sequence: WireInt, nowMs: number): void;
-  /** The start was certainly not executed, or may safely be sent again: it waits to be sent. */
+  /**
+   * Returns the attempt to `planned`, because its start command was certainly not executed or may safely be sent
+   * again.
+   */
   returnToPlanned(): void;
-  /** A call that carries its start command straight to the worker has begun. */
+  /** Records that a call has begun that carries the start command directly to the worker. */
   beginDirectStart(): void;
-  /** That call has ended. `lost`: without a response, so that the command may still be executed. */
-  endDirectStart(outcome: Exclude<DirectStart, 'pending'>): void;
-  /** It is to end, with this many seconds to save a checkpoint. */
+  /**
+   * Records that this call has ended. `lost` means that it had no response, so that the command may still be
+   * executed.
+   */
+  endDirectStart(outcome: Exclude<DirectStartState, 'pending'>): void;
+  /** Requests that the attempt stops, with this many seconds to save a checkpoint. */
   requestStop(gracePeriodS: number): void;
-  /** Its worker lists it in a state other than exited. */
+  /** Records that the worker lists the attempt in a state other than exited. */
   recordState(state: Exclude<TaskState, 'exited'>, nowMs: number): void;
-  /** Its worker lists it as exited. */
+  /** Records that the worker lists the attempt as exited. */
   recordExit(cause: ExitCause): void;
 }
 
@@ -70,12 +83,12 @@
   readonly node: Node;
   readonly resources: Resources;
   state: AttemptState;
-  sentSequence: WireInt = 0;
+  startSentSequence: WireInt = 0;
   sentMs = -Infinity;
   startedMs: number;
   stopRequest: { readonly gracePeriodS: number } | undefined = undefined;
   exitCause: ExitCause | undefined = undefined;
-  directStart: DirectStart = 'none';
+  directStart: DirectStartState = 'none';
 
   constructor(identity: AttemptIdentity, state: AttemptState, nowMs: number) {
     this.job = identity.job;
@@ -83,14 +96,14 @@
     this.index = identity.index;
     this.number = identity.number;
     this.node = identity.node;
-    this.resources = resourcesOf(identity.job);
+    this.resources = getRequestedResources(identity.job);
     this.state = state;
     this.startedMs = nowMs;
   }
 
   markStartSent(sequence: WireInt, nowMs: number): void {
     this.state = 'sent';
-    this.sentSequence = sequence;
+    this.startSentSequence = sequence;
     this.sentMs = nowMs;
   }
 
@@ -102,7 +115,7 @@
     this.directStart = 'pending';
   }
 
-  endDirectStart(outcome: Exclude<DirectStart, 'pending'>): void {
+  endDirectStart(outcome: Exclude<DirectStartState, 'pending'>): void {
     this.directStart = outcome;
   }
 
@@ -121,22 +134,22 @@
   }
 }
 
-/** A new attempt: planned by the scheduler, or found in a heartbeat. It is not yet part of any table. */
+/** Creates an attempt that the scheduler planned or that a heartbeat listed. It is not part of a cluster state yet. */
 export function createAttempt(identity: AttemptIdentity, state: AttemptState, nowMs: number): Attempt {
   return new TrackedAttempt(identity, state, nowMs);
 }
 
-/** The key of an attempt among those of its node. */
+/** Returns the key of an attempt among the attempts of its node. */
 export function attemptKey(jobUid: string, index: number, number: WireInt): string {
   return `${jobUid}/${index}#${number}`;
 }
 
-/** The name of the attempt's task, as commands, logs and users spell it. */
+/** Returns the name of the attempt's task, as it appears in commands, in logs and to users. */
 export function taskName({ jobUid, index }: Pick<Attempt, 'jobUid' | 'index'>): string {
   return `${jobUid}/${index}`;
 }
 
-function resourcesOf(job: Job | undefined): Resources {
+function getRequestedResources(job: Job | undefined): Resources {
   if (!job) return NO_RESOURCES;
   const { cpus, accelerators, memGb } = job.spec;
   return { cpus, accelerators, memGb };
--- a/src/cluster/cluster-state.ts
+++ b/src/cluster/cluster-state.ts
@@ -1,6 +1,6 @@
 /**
- * The allocation table of one term: the nodes, the attempts on them, the resources these take of nodes and of teams, and
- * indexes of both. It decides nothing.
+ * The cluster state of one term: the nodes, the attempts on them, the resources that attempts take from nodes and
+ * teams, and indexes of the nodes. It makes no decisions.
  */
 import { EPSILON } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
@@ -19,152 +19,166 @@
 export type { Node, NodeDescription } from './node.js';
 export type { MutableResources, Resources } from './resources.js';
 
-/** Told of each end of an attempt, after the table has changed. */
-export interface AttemptEvents {
-  /** Its worker says that it has exited. */
+/** Is notified of each end of an attempt, after the cluster state has changed. */
+export interface AttemptListener {
+  /** The worker has reported that the attempt exited. */
   exited(attempt: Attempt, cause: ExitCause): void;
-  /** It is certainly over without having exited: lost, or withdrawn before it was started. */
+  /** The attempt has certainly ended without a reported exit: it was lost, or withdrawn before it was started. */
   released(attempt: Attempt): void;
 }
 
-/** A start that the scheduler has decided. */
+/** A start of a task that the scheduler has decided. */
 export interface PlannedStart {
   readonly job: Job;
-  /** The task's position in its job, from 0. */
+  /** Index of the task within its job, starting at 0. */
   readonly index: number;
   /** The attempt's number, which no other attempt has. */
   readonly number: WireInt;
   readonly node: Node;
 }
 
-/** What is allocated on each node and by each team. What is not known to be free counts as allocated. */
+/**
+ * Tracks the resources that are allocated on each node and by each team. Resources that are not known to be free
+ * count as allocated.
+ */
 export class ClusterState {
-  /** Names of nodes whose termination an earlier term has irrevocably requested, known or not. */
-  private readonly terminatingNames = new Set<string>();
+  /**
+   * Names of nodes whose termination an earlier term irrevocably requested, whether or not the nodes are known here.
+   */
+  private readonly terminatingNodeNames = new Set<string>();
   private readonly nodesByName = new Map<string, Node>();
-  private readonly usagePerTeam = new Map<string, MutableResources>();
-  private readonly awaitingCommands = new Set<Node>();
-  private readonly withFreeCapacity = new Set<Node>();
-  private readonly nodeCounts = new Map<string, number>();
+  private readonly usageByTeam = new Map<string, MutableResources>();
+  private readonly commandAwaitingNodes = new Set<Node>();
+  private readonly freeCapacityNodes = new Set<Node>();
+  private readonly nodeCountsByZone = new Map<string, number>();
   private lastOrdinal = 0;
 
-  constructor(private readonly events: AttemptEvents) {}
+  constructor(private readonly listener: AttemptListener) {}
 
   /** All nodes by name, in the order in which they became known. */
   get nodes(): ReadonlyMap<string, Node> {
     return this.nodesByName;
   }
 
-  /** The zones that have nodes, and how many each has. */
+  /** Number of nodes in each zone that has nodes. */
   get nodesPerZone(): ReadonlyMap<string, number> {
-    return this.nodeCounts;
+    return this.nodeCountsByZone;
   }
 
-  /** The nodes on which processors or accelerators are free; in a large cluster most are full. */
+  /** The nodes on which processors or accelerators are free. In a large cluster most nodes are full. */
   get nodesWithFreeCapacity(): ReadonlySet<Node> {
-    return this.withFreeCapacity;
+    return this.freeCapacityNodes;
   }
 
-  /** The nodes with a planned start or a requested stop of which their workers may not know. */
+  /** The nodes with a planned start or a requested stop that their workers may not know of. */
   get nodesAwaitingCommands(): ReadonlySet<Node> {
-    return this.awaitingCommands;
+    return this.commandAwaitingNodes;
   }
 
-  /** Adds a node with nothing on it. */
+  /** Adds a node without attempts. */
   addNode(description: NodeDescription, nowMs: number): Node {
     const node = createNode(description, ++this.lastOrdinal, nowMs);
-    if (this.terminatingNames.has(node.name)) node.markTerminating();
+    if (this.terminatingNodeNames.has(node.name)) node.markTerminating();
     this.nodesByName.set(node.name, node);
-    this.nodeCounts.set(node.zone, (this.nodeCounts.get(node.zone) ?? 0) + 1);
+    this.nodeCountsByZone.set(node.zone, (this.nodeCountsByZone.get(node.zone) ?? 0) + 1);
     this.indexFreeCapacity(node);
     return node;
   }
 
-  /** The node was deleted: all attempts on it are released. */
+  /** Removes a node that was deleted, and releases all attempts on it. */
   removeNode(node: Node): void {
-    this.terminatingNames.delete(node.name);
-    this.releaseAll(node);
+    this.terminatingNodeNames.delete(node.name);
+    this.releaseAllAttempts(node);
     if (!this.nodesByName.delete(node.name)) return;
-    const remaining = (this.nodeCounts.get(node.zone) ?? 1) - 1;
-    if (remaining > 0) this.nodeCounts.set(node.zone, remaining);
-    else this.nodeCounts.delete(node.zone);
-    this.awaitingCommands.delete(node);
-    this.withFreeCapacity.delete(node);
+    const remainingCount = (this.nodeCountsByZone.get(node.zone) ?? 1) - 1;
+    if (remainingCount > 0) this.nodeCountsByZone.set(node.zone, remainingCount);
+    else this.nodeCountsByZone.delete(node.zone);
+    this.commandAwaitingNodes.delete(node);
+    this.freeCapacityNodes.delete(node);
   }
 
-  /** An earlier term has irrevocably requested the termination of the node of this name, whether it is known yet or not. */
+  /**
+   * Records that an earlier term irrevocably requested the termination of the node of this name, whether or not the
+   * node is known yet.
+   */
   inheritTermination(name: string): void {
-    this.terminatingNames.add(name);
+    this.terminatingNodeNames.add(name);
     this.nodesByName.get(name)?.markTerminating();
   }
 
-  /** The instance catalog has the capacity of the node's type. */
+  /** Sets the capacity of the node to that of its type in the instance catalog. */
   setCapacity(node: Node, capacity: Resources): void {
     node.setCapacity(capacity);
     this.indexFreeCapacity(node);
   }
 
-  /** Allocates resources for a start that is still to be sent to the worker. */
+  /** Allocates resources for a start whose command still has to be sent to the worker. */
   planAttempt({ job, index, number, node }: PlannedStart, nowMs: number): Attempt {
     const attempt = this.allocate({ job, jobUid: job.uid, index, number, node }, 'planned', nowMs);
-    this.awaitingCommands.add(node);
+    this.commandAwaitingNodes.add(node);
     return attempt;
   }
 
-  /** Adds an attempt that a worker lists and that was not known. */
+  /** Adds an attempt that a worker lists and that was not known before. */
   addListedAttempt(identity: AttemptIdentity, nowMs: number): Attempt {
     return this.allocate(identity, 'running', nowMs);
   }
 
-  /** Withdraws a start that was certainly not sent. */
+  /** Withdraws an attempt whose start command was certainly not sent. */
   withdrawPlanned(attempt: Attempt): void {
     this.removeAttempt(attempt);
   }
 
-  /** The attempt has exited: its resources are free, and its node keeps it until the worker may forget it. */
+  /**
+   * Records that the attempt has exited. Its resources become free, and its node keeps it until the worker may forget
+   * it.
+   */
   exitAttempt(attempt: Attempt, cause: ExitCause): void {
     attempt.recordExit(cause);
     this.deallocate(attempt);
-    this.events.exited(attempt, cause);
+    this.listener.exited(attempt, cause);
   }
 
-  /** The attempt is certainly over; unless it had exited, it counts as released. */
+  /** Removes an attempt that has certainly ended. It counts as released unless it had exited. */
   removeAttempt(attempt: Attempt): void {
     attempt.node.removeAttempt(attempt);
     if (attempt.state === 'exited') return;
     this.deallocate(attempt);
-    this.events.released(attempt);
+    this.listener.released(attempt);
   }
 
-  /** All attempts on the node are certainly over. */
-  releaseAll(node: Node): void {
+  /** Removes all attempts on the node, because all of them have certainly ended. */
+  releaseAllAttempts(node: Node): void {
     for (const attempt of [...node.attempts.values()]) this.removeAttempt(attempt);
   }
 
-  /** The node's lease has expired: every attempt of its incarnation is over, and no heartbeat of it counts any more. */
+  /**
+   * Fences the incarnation of a node whose lease has expired. All its attempts have ended, and its heartbeats are no
+   * longer accepted.
+   */
   fenceIncarnation(node: Node): void {
     node.fence();
-    this.releaseAll(node);
+    this.releaseAllAttempts(node);
   }
 
-  /** The node's worker is to be sent commands of which it may not know. */
+  /** Records that the node's worker has to be sent commands that it may not know of. */
   markAwaitingCommands(node: Node): void {
-    this.awaitingCommands.add(node);
+    this.commandAwaitingNodes.add(node);
   }
 
-  /** The node's worker has nothing to be sent until it is marked again. */
+  /** Records that the node's worker has to be sent no commands until the node is marked again. */
   clearAwaitingCommands(node: Node): void {
-    this.awaitingCommands.delete(node);
+    this.commandAwaitingNodes.delete(node);
   }
 
-  /** What is free on the node, as a total of the caller's own. */
+  /** Returns the free resources of the node, in a new object that the caller may change. */
   freeResources(node: Node): MutableResources {
     return subtractResources(node.capacity, node.allocated);
   }
 
-  /** What the attempts of the team's jobs take. */
+  /** Returns the resources that the attempts of the team's jobs take. */
   usage(team: string): Resources {
-    return this.usagePerTeam.get(team) ?? NO_RESOURCES;
+    return this.usageByTeam.get(team) ?? NO_RESOURCES;
   }
 
   private allocate(identity: AttemptIdentity, state: AttemptState, nowMs: number): Attempt {
@@ -173,8 +187,9 @@
     node.addAttempt(attempt);
     this.indexFreeCapacity(node);
     if (job) {
-      this.addUsage(job.spec.team, attempt.resources, 1);
-      // A second attempt of an allocated task takes resources as well, but the first stays the task's.
+      this.addTeamUsage(job.spec.team, attempt.resources, 1);
+      // A second attempt of an allocated task takes resources as well, but the first attempt remains the allocation
+      // of the task.
       if (!job.allocations.has(index)) job.addAllocation(attempt, node.zone);
     }
     return attempt;
@@ -185,22 +200,22 @@
     node.releaseResources(attempt);
     this.indexFreeCapacity(node);
     if (!job) return;
-    this.addUsage(job.spec.team, resources, -1);
+    this.addTeamUsage(job.spec.team, resources, -1);
     job.removeAllocation(attempt, node.zone);
   }
 
-  private addUsage(team: string, amount: Resources, sign: 1 | -1): void {
-    let usage = this.usagePerTeam.get(team);
-    if (!usage) this.usagePerTeam.set(team, (usage = { ...NO_RESOURCES }));
+  private addTeamUsage(team: string, amount: Resources, sign: 1 | -1): void {
+    let usage = this.usageByTeam.get(team);
+    if (!usage) this.usageByTeam.set(team, (usage = { ...NO_RESOURCES }));
     addResources(usage, amount, sign);
   }
 
   private indexFreeCapacity(node: Node): void {
     const { capacity, allocated } = node;
-    const isFree =
+    const hasFreeCapacity =
       capacity.cpus - allocated.cpus > EPSILON || capacity.accelerators - allocated.accelerators > EPSILON;
-    // A node that was removed stays out of the index, also when attempts on it end later.
-    if (isFree && this.nodesByName.get(node.name) === node) this.withFreeCapacity.add(node);
-    else this.withFreeCapacity.delete(node);
+    // A removed node stays out of the index, even if attempts on it end later.
+    if (hasFreeCapacity && this.nodesByName.get(node.name) === node) this.freeCapacityNodes.add(node);
+    else this.freeCapacityNodes.delete(node);
   }
 }
--- a/src/cluster/heartbeat-reconciler.ts
+++ b/src/cluster/heartbeat-reconciler.ts
@@ -1,79 +1,90 @@
 /**
- * Brings the allocation table in line with what workers list: "what is" against "what was decided".
+ * Reconciles the attempts of the cluster state, which the leader decided, with the tasks that workers actually list.
  */
 import type { Heartbeat, TaskStatus } from './worker-messages.js';
 import { attemptKey, type Attempt, type Job } from './attempt.js';
 import type { ClusterState } from './cluster-state.js';
 import {
   classifyUnlistedAttempt,
-  expiredDespiteResponse,
-  isNewer,
+  hasExpiredDespiteResponse,
+  isNewerHeartbeat,
   leaseExpiryMs,
   type HeartbeatSource,
 } from './lease-rules.js';
 import type { Node } from './node.js';
 
-/** Dependencies of the heartbeat reconciler. */
+/** Dependencies of `HeartbeatReconciler`. */
 export interface HeartbeatReconcilerDependencies {
   readonly clusterState: ClusterState;
-  /** Seconds for which a worker goes on after the last heartbeat that was answered. */
+  /**
+   * Duration of a lease in seconds. A worker keeps running its tasks for this time after its last answered heartbeat.
+   */
   readonly leaseS: number;
   readonly findJob: (uid: string) => Job | undefined;
 }
 
-/** Applies heartbeats, and the responses to them, to the nodes and attempts of the table. */
+/** Applies heartbeats, and the responses to them, to the nodes and attempts of the cluster state. */
 export class HeartbeatReconciler {
-  constructor(private readonly deps: HeartbeatReconcilerDependencies) {}
+  constructor(private readonly dependencies: HeartbeatReconcilerDependencies) {}
 
   /**
-   * Takes over what a worker lists, whether in a heartbeat or in the response to a command. False: it is older than what is
-   * known, and nothing changed.
+   * Applies what a worker lists in a heartbeat or in its response to a command. Returns false and changes nothing if
+   * this is older than what is already known.
    */
   apply(node: Node, heartbeat: Heartbeat, source: HeartbeatSource, nowMs: number): boolean {
-    if (heartbeat.incarnation <= node.fencedIncarnation || !isNewer(heartbeat, node)) return false;
+    if (heartbeat.incarnation <= node.fencedIncarnation || !isNewerHeartbeat(heartbeat, node)) return false;
     this.applyIncarnation(node, heartbeat, nowMs);
     node.recordStatus(heartbeat, nowMs);
-    // A worker that responds to commands may still reach no controller: only its heartbeats show that its lease lasts.
+    // A worker that responds to commands may still be unable to reach any controller. Only its heartbeats show that
+    // its lease is renewed.
     if (source === 'heartbeat') node.recordHeartbeat(nowMs);
-    const isStartAcknowledged = heartbeat.tasks.some(
-      (task) => node.attempts.get(keyOf(task))?.state === 'sent',
+    const hasAcknowledgedStart = heartbeat.tasks.some(
+      (task) => node.attempts.get(getAttemptKey(task))?.state === 'sent',
     );
-    const listed = new Set<string>();
-    for (const task of heartbeat.tasks) listed.add(this.applyTask(node, task, nowMs));
-    const hasUnexecutedStart = this.applyUnlisted(node, listed, source);
-    if (isStartAcknowledged) node.acknowledgeResponses();
+    const listedKeys = new Set<string>();
+    for (const task of heartbeat.tasks) listedKeys.add(this.applyListedTask(node, task, nowMs));
+    const hasUnexecutedStart = this.applyUnlistedAttempts(node, listedKeys, source);
+    if (hasAcknowledgedStart) node.acknowledgeResponses();
     else if (hasUnexecutedStart) node.countUnacknowledgedResponse();
     return true;
   }
 
-  /** To be called for each heartbeat that is answered with 200, before the response is sent. */
+  /** Records that a heartbeat is answered with status 200. This has to be called before the response is sent. */
   recordResponse(node: Node, nowMs: number): void {
     node.recordResponse(nowMs);
     this.extendLease(node, nowMs);
   }
 
   private extendLease(node: Node, nowMs: number): void {
-    node.extendLease(leaseExpiryMs(nowMs, this.deps.leaseS));
+    node.extendLease(leaseExpiryMs(nowMs, this.dependencies.leaseS));
   }
 
-  /** A newer incarnation ends all attempts of the one before. */
+  /** Ends all attempts of the previous incarnation if the heartbeat belongs to a newer one. */
   private applyIncarnation(node: Node, heartbeat: Heartbeat, nowMs: number): void {
     const { lastResponseMs } = node;
-    if (expiredDespiteResponse({ heartbeat, known: node, lastResponseMs, nowMs, leaseS: this.deps.leaseS }))
+    if (
+      hasExpiredDespiteResponse({
+        heartbeat,
+        lastKnown: node,
+        lastResponseMs,
+        nowMs,
+        leaseS: this.dependencies.leaseS,
+      })
+    )
       node.markResponsesLost();
     if (heartbeat.incarnation <= node.incarnation) return;
-    this.deps.clusterState.releaseAll(node);
-    // The new incarnation begins with a lease of its own, also if this heartbeat gets no response.
+    this.dependencies.clusterState.releaseAllAttempts(node);
+    // The new incarnation starts with a lease of its own, even if this heartbeat gets no response.
     this.extendLease(node, nowMs);
   }
 
-  /** Takes over the state of one listed task; returns its attempt's key. */
-  private applyTask(node: Node, task: TaskStatus, nowMs: number): string {
-    const key = keyOf(task);
-    const attempt = node.attempts.get(key) ?? this.addListed(node, task, nowMs);
+  /** Applies the state of one listed task, and returns the key of its attempt. */
+  private applyListedTask(node: Node, task: TaskStatus, nowMs: number): string {
+    const key = getAttemptKey(task);
+    const attempt = node.attempts.get(key) ?? this.addListedAttempt(node, task, nowMs);
     if (attempt.state === 'exited') return key;
     if (task.state === 'exited') {
-      this.deps.clusterState.exitAttempt(attempt, task.cause ?? 'stopped');
+      this.dependencies.clusterState.exitAttempt(attempt, task.cause ?? 'stopped');
       return key;
     }
     if (task.state === 'running' && attempt.state !== 'running' && attempt.job) {
@@ -84,9 +95,9 @@
     return key;
   }
 
-  /** An attempt of an earlier term, or one that ran on after it was released. */
-  private addListed(node: Node, task: TaskStatus, nowMs: number): Attempt {
-    const { clusterState, findJob } = this.deps;
+  /** Adds an attempt of an earlier term, or one that kept running after it was released. */
+  private addListedAttempt(node: Node, task: TaskStatus, nowMs: number): Attempt {
+    const { clusterState, findJob } = this.dependencies;
     const job = findJob(task.job);
     const attempt = clusterState.addListedAttempt(
       { job, jobUid: task.job, index: task.index, number: task.attempt, node },
@@ -101,29 +112,39 @@
     return attempt;
   }
 
-  /** Judges the attempts that the worker does not list. True: a start command that was sent was not executed. */
-  private applyUnlisted(node: Node, listed: ReadonlySet<string>, source: HeartbeatSource): boolean {
+  /**
+   * Classifies the attempts that the worker does not list. Returns true if a start command that was sent was not
+   * executed.
+   */
+  private applyUnlistedAttempts(
+    node: Node,
+    listedKeys: ReadonlySet<string>,
+    source: HeartbeatSource,
+  ): boolean {
     let hasUnexecutedStart = false;
     for (const [key, attempt] of node.attempts) {
-      if (listed.has(key)) continue;
-      if (this.applyVerdict(node, attempt, source)) hasUnexecutedStart = true;
-      // A start that was not executed and is no longer wanted is over.
+      if (listedKeys.has(key)) continue;
+      if (this.applyUnlistedVerdict(node, attempt, source)) hasUnexecutedStart = true;
+      // An attempt whose start was not executed and is no longer wanted has ended.
       if (attempt.state === 'planned' && attempt.stopRequest && attempt.directStart === 'none')
-        this.deps.clusterState.removeAttempt(attempt);
+        this.dependencies.clusterState.removeAttempt(attempt);
     }
     return hasUnexecutedStart;
   }
 
-  /** True: a start command that was sent had no effect, and is to be sent again. */
-  private applyVerdict(node: Node, attempt: Attempt, source: HeartbeatSource): boolean {
-    const { sentSequence, directStart } = attempt;
+  /**
+   * Classifies an attempt that the worker does not list, and applies the verdict. Returns true if a start command
+   * that was sent had no effect and has to be sent again.
+   */
+  private applyUnlistedVerdict(node: Node, attempt: Attempt, source: HeartbeatSource): boolean {
+    const { startSentSequence, directStart } = attempt;
     const state = attempt.state === 'planned' || attempt.state === 'sent' ? attempt.state : 'listed';
     const verdict = classifyUnlistedAttempt({
       state,
-      sentSequence,
+      startSentSequence,
       directStart,
       source,
-      sequence: node.sequence,
+      listSequence: node.sequence,
     });
     switch (verdict) {
       case 'unknown':
@@ -131,15 +152,15 @@
       case 'resend':
       case 'notExecuted':
         attempt.returnToPlanned();
-        this.deps.clusterState.markAwaitingCommands(node);
+        this.dependencies.clusterState.markAwaitingCommands(node);
         return true;
       case 'gone':
-        this.deps.clusterState.removeAttempt(attempt);
+        this.dependencies.clusterState.removeAttempt(attempt);
         return false;
     }
   }
 }
 
-function keyOf(task: TaskStatus): string {
+function getAttemptKey(task: TaskStatus): string {
   return attemptKey(task.job, task.index, task.attempt);
 }
--- a/src/cluster/lease-rules.ts
+++ b/src/cluster/lease-rules.ts
@@ -1,112 +1,131 @@
 /**
- * The safety rules about leases and heartbeats, as pure functions. Everything that decides whether a task is certainly over
- * stands here.
+ * The safety rules for leases and heartbeats, as pure functions. Everything that decides whether a task has certainly
+ * ended belongs here.
  */
 import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
 
-/** The leader's steady time at which a lease extended by a response at `responseMs` has certainly expired on the worker. */
+/**
+ * Returns the leader's steady time in ms at which a lease that was extended by a response at `responseMs` has
+ * certainly expired on the worker.
+ */
 export function leaseExpiryMs(responseMs: number, leaseS: number): number {
-  // The worker counts from when it sent the heartbeat, which is before the response; its clock may be slower.
+  // The worker's lease starts when it sends the heartbeat, which is before the response. Its clock may be slower.
   return responseMs + leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
 }
 
-/** The place of a worker's message in the order of all its messages. */
+/** The position of a worker's message in the order of all its messages. */
 export interface HeartbeatVersion {
-  /** A larger number each time the worker starts anew or loses its lease. */
+  /** Number that grows each time the worker restarts or loses its lease. */
   readonly incarnation: WireInt;
-  /** Counts the messages within the incarnation. */
+  /** Number that grows with each message of the incarnation. */
   readonly sequence: WireInt;
 }
 
-/** Whether a message of a worker is newer than the newest seen: messages come late and out of order. */
-export function isNewer(message: HeartbeatVersion, seen: HeartbeatVersion): boolean {
-  if (message.incarnation !== seen.incarnation) return message.incarnation > seen.incarnation;
-  return message.sequence > seen.sequence;
+/** Whether a worker's message is newer than the newest one seen so far. Messages may arrive late and out of order. */
+export function isNewerHeartbeat(message: HeartbeatVersion, newestSeen: HeartbeatVersion): boolean {
+  if (message.incarnation !== newestSeen.incarnation) return message.incarnation > newestSeen.incarnation;
+  return message.sequence > newestSeen.sequence;
 }
 
-/** What the leader knows of the node that sent a heartbeat. */
+/** What the leader knows about the node that sent a heartbeat. */
 export interface KnownNode {
-  /** Whether it was deleted lately. */
+  /** Whether the node was deleted recently. */
   readonly deleted: boolean;
-  /** Whether one of its heartbeats showed the token of this term already. */
+  /** Whether an earlier heartbeat of the node showed the fencing token of this term. */
   readonly reconciled: boolean;
 }
 
 /**
- * What a heartbeat proves. `current`: its worker received a response of this term. `firstContact`: its worker does not know the
- * fencing token of this term, so the heartbeat may be a copy of long ago; the worker is shown the token, and nothing is
- * learned. `stale`: it is of a node that was deleted, or older than what the node showed already, or of a worker that obeys a
- * later term, which would ignore the response while its lease counted as extended here.
+ * What a heartbeat proves about its worker.
+ *
+ * - `current`: The worker has received a response of this term.
+ * - `firstContact`: The worker does not know the fencing token of this term, so the heartbeat may be an old copy. The
+ *   response shows the token to the worker, and the leader learns nothing from the heartbeat.
+ * - `stale`: The heartbeat belongs to a deleted node, or is older than what the node has already shown, or comes from
+ *   a worker that obeys a later term. Such a worker would ignore the response, although its lease would count as
+ *   extended here.
  */
 export type HeartbeatFreshness = 'current' | 'firstContact' | 'stale';
 
-/** Judges a heartbeat by the fencing token that it shows. */
-export function classifyHeartbeat(token: WireInt, term: number, node: KnownNode): HeartbeatFreshness {
-  if (node.deleted || token > term) return 'stale';
-  if (token === term) return 'current';
+/** Classifies a heartbeat by the fencing token that it shows. */
+export function classifyHeartbeat(
+  fencingToken: WireInt,
+  termFencingToken: number,
+  node: KnownNode,
+): HeartbeatFreshness {
+  if (node.deleted || fencingToken > termFencingToken) return 'stale';
+  if (fencingToken === termFencingToken) return 'current';
   return node.reconciled ? 'stale' : 'firstContact';
 }
 
-/** A heartbeat of a new incarnation, and what is known of the incarnation before it. */
+/** A heartbeat that may belong to a new incarnation, and what is known of the incarnation before it. */
 export interface IncarnationChange {
   readonly heartbeat: HeartbeatVersion;
-  readonly known: HeartbeatVersion;
-  /** Steady ms of the last response to the known incarnation. */
+  readonly lastKnown: HeartbeatVersion;
+  /** Steady time in ms of the last response to the known incarnation. */
   readonly lastResponseMs: number;
   readonly nowMs: number;
   readonly leaseS: number;
 }
 
 /**
- * Whether the end of an incarnation shows that responses do not reach the worker: its lease expired although it was
- * answered within the last half of it.
+ * Whether the end of an incarnation shows that responses do not reach the worker. This is the case if its lease
+ * expired although a heartbeat was answered within the last half of the lease duration.
  */
-export function expiredDespiteResponse(change: IncarnationChange): boolean {
-  const { heartbeat, known, lastResponseMs, nowMs, leaseS } = change;
+export function hasExpiredDespiteResponse(change: IncarnationChange): boolean {
+  const { heartbeat, lastKnown, lastResponseMs, nowMs, leaseS } = change;
   return (
-    known.incarnation > 0 &&
-    heartbeat.incarnation > known.incarnation &&
+    lastKnown.incarnation > 0 &&
+    heartbeat.incarnation > lastKnown.incarnation &&
     nowMs - lastResponseMs < (leaseS * 1000) / 2
   );
 }
 
 /**
- * A start command sent straight to the worker. `pending`: its call goes on. `lost`: the call ended without a response, and the
- * command may be executed as long as the incarnation lasts; from then on it is repeated in responses to heartbeats only.
+ * The state of a call that sends a start command directly to the worker.
+ *
+ * - `none`: No such call is in progress, and none was lost.
+ * - `pending`: The call is in progress.
+ * - `lost`: The call ended without a response, and the command may be executed as long as the incarnation lasts. From
+ *   then on the command is repeated only in responses to heartbeats.
  */
-export type DirectStart = 'none' | 'pending' | 'lost';
+export type DirectStartState = 'none' | 'pending' | 'lost';
 
-/** Where a worker's list of tasks came from: a heartbeat of its own, or its response to a command. */
+/** The message that contained a worker's list of tasks: a heartbeat, or the response to a command. */
 export type HeartbeatSource = 'heartbeat' | 'commandResponse';
 
-/** An attempt that a worker's newer list does not contain. */
+/** An attempt that a newer list of its worker does not contain. */
 export interface UnlistedAttempt {
-  /** `listed`: the worker has listed it before. */
+  /** `listed` means that the worker has listed the attempt before. */
   readonly state: 'planned' | 'sent' | 'listed';
   /** Sequence number of the heartbeat whose response carried the start command. */
-  readonly sentSequence: WireInt;
-  readonly directStart: DirectStart;
+  readonly startSentSequence: WireInt;
+  readonly directStart: DirectStartState;
   readonly source: HeartbeatSource;
-  /** Sequence number of the list. */
-  readonly sequence: WireInt;
+  /** Sequence number of the message that contained the list. */
+  readonly listSequence: WireInt;
 }
 
 /**
- * What a list that lacks an attempt proves. `unknown`: nothing. `resend`: a command that may still be executed has to be sent
- * again. `notExecuted`: the start command was not executed and never will be. `gone`: the attempt is over.
+ * What the absence of an attempt from a list proves.
+ *
+ * - `unknown`: The absence proves nothing.
+ * - `resend`: The start command may still be executed, and has to be sent again.
+ * - `notExecuted`: The start command was not executed and never will be.
+ * - `gone`: The attempt has ended.
  */
 export type UnlistedVerdict = 'unknown' | 'resend' | 'notExecuted' | 'gone';
 
 /**
- * Judges an attempt that a newer list lacks. A worker has one heartbeat in flight and ignores late responses, so by its next
- * heartbeat the start command was executed or never will be. The response to a direct command proves nothing of that: it
- * can overtake the response to the heartbeat, whose command is then executed after it.
+ * Classifies an attempt that is missing from a newer list. A worker has only one heartbeat in flight and ignores late
+ * responses, so by its next heartbeat the start command was executed or never will be. The response to a direct
+ * command does not prove this. It can overtake the response to a heartbeat, whose command is then executed later.
  */
 export function classifyUnlistedAttempt(attempt: UnlistedAttempt): UnlistedVerdict {
-  const { state, source, sequence, sentSequence, directStart } = attempt;
+  const { state, source, listSequence, startSentSequence, directStart } = attempt;
   if (state === 'listed') return 'gone';
-  if (state === 'planned' || source !== 'heartbeat' || sequence <= sentSequence) return 'unknown';
+  if (state === 'planned' || source !== 'heartbeat' || listSequence <= startSentSequence) return 'unknown';
   if (directStart === 'pending') return 'unknown';
   return directStart === 'lost' ? 'resend' : 'notExecuted';
 }
--- a/src/cluster/node-group.ts
+++ b/src/cluster/node-group.ts
@@ -1,82 +1,83 @@
-/**
- * Nodes that stand in the state store in one value, and the pace at which that value may be written.
- */
+/** A group of nodes that share one value in the state store. The group also limits how often this value is written. */
 import { NODE_GROUP_WRITE_SPACING_MS } from '../constants.js';
 import { encodeNodeGroup } from '../state/records.js';
 import type { Node } from './node.js';
 
-/** What all nodes of a group have in common. */
+/** The properties that all nodes of a group have in common. */
 export type NodeGroupKind = Pick<Node, 'type' | 'zone' | 'spot'>;
 
-/** Nodes of one kind that share a value in the state store. At most one write of it is under way at a time. */
+/** Nodes of one kind that share a value in the state store. At most one write of the value is in progress at a time. */
 export class NodeGroup {
-  /** What its nodes have in common. */
+  /** The properties that all nodes of the group have in common. */
   readonly kind: NodeGroupKind;
-  /** For each node, whether it may hold tasks. */
-  private readonly members = new Map<Node, boolean>();
+  /** For each node, whether it is used. A used node is one that may hold tasks. */
+  private readonly isUsedByNode = new Map<Node, boolean>();
   private isBeingWritten = false;
   private lastWriteMs = -Infinity;
 
   constructor(
-    /** Its key in the state store. */
+    /** Key of the group in the state store. */
     readonly key: string,
     { type, zone, spot }: NodeGroupKind,
   ) {
     this.kind = { type, zone, spot };
   }
 
-  /** Number of its nodes. */
+  /** Number of nodes in the group. */
   get size(): number {
-    return this.members.size;
+    return this.isUsedByNode.size;
   }
 
-  /** Whether a write of it is under way. */
+  /** Whether a write of the group is in progress. */
   get isWriting(): boolean {
     return this.isBeingWritten;
   }
 
-  /** Adds a node; `isUsed`: it may hold tasks. */
+  /** Adds a node. `isUsed` tells whether it may hold tasks. */
   add(node: Node, isUsed: boolean): void {
-    this.members.set(node, isUsed);
+    this.isUsedByNode.set(node, isUsed);
   }
 
-  /** Removes a node, if it has it. */
+  /** Removes the node if it is in the group. */
   remove(node: Node): void {
-    this.members.delete(node);
+    this.isUsedByNode.delete(node);
   }
 
-  /** Marks a node as possibly holding tasks. False: it was marked already. */
+  /** Marks a node as used: it may hold tasks. Returns false if it was already marked. */
   markUsed(node: Node): boolean {
-    if (this.members.get(node)) return false;
-    this.members.set(node, true);
+    if (this.isUsedByNode.get(node)) return false;
+    this.isUsedByNode.set(node, true);
     return true;
   }
 
-  /** Its nodes at this moment, each with whether it may hold tasks. */
+  /** Returns the nodes that are in the group at this moment, each with whether it is used. */
   entries(): [node: Node, isUsed: boolean][] {
-    return [...this.members];
+    return [...this.isUsedByNode];
   }
 
-  /** Its nodes that may hold tasks. */
+  /** Returns the nodes that may hold tasks. */
   usedNodes(): Node[] {
     return this.entries()
       .filter(([, isUsed]) => isUsed)
       .map(([node]) => node);
   }
 
-  /** Removes all nodes and returns them. */
-  takeAll(): [node: Node, isUsed: boolean][] {
+  /** Removes all nodes and returns them, each with whether it is used. */
+  removeAll(): [node: Node, isUsed: boolean][] {
     const entries = this.entries();
-    this.members.clear();
+    this.isUsedByNode.clear();
     return entries;
   }
 
-  /** Its value for the state store; undefined when it has no nodes, as its key is then deleted. */
-  toValue(): unknown {
+  /**
+   * Returns the value of the group for the state store. Undefined if the group has no nodes, as its key is then
+   * deleted.
+   */
+  toStoredValue(): unknown {
     return this.size > 0 ? this.encode() : undefined;
   }
 
-  /** Its stored form, also without nodes. */
+  /** Returns the encoded value of the group, even if it has no nodes. */
   encode(): unknown {
     const nodeAddresses = new Map(
       this.entries().map(([node, isUsed]) => [node.name, isUsed ? node.address : undefined]),
@@ -84,34 +85,34 @@
     return encodeNodeGroup({ ...this.kind, nodeAddresses });
   }
 
-  /** Whether it may be written now: no write of it is under way, and the last one was long enough ago. */
+  /** Whether the group may be written now: no write of it is in progress, and the last one was long enough ago. */
   mayBeWritten(nowMs: number): boolean {
     return !this.isBeingWritten && nowMs - this.lastWriteMs >= NODE_GROUP_WRITE_SPACING_MS;
   }
 
-  /** Ms until the last write of it is long enough ago; zero or less: it is. */
-  writeDelayMs(nowMs: number): number {
+  /** Returns the time in ms until the last write is long enough ago. Zero or less if it already is. */
+  computeWriteDelayMs(nowMs: number): number {
     return this.lastWriteMs + NODE_GROUP_WRITE_SPACING_MS - nowMs;
   }
 
-  /** A write of it has begun. */
+  /** Records that a write of the group has begun. */
   beginWrite(nowMs: number): void {
     this.isBeingWritten = true;
     this.lastWriteMs = nowMs;
   }
 
-  /** A write of it has begun together with that of another group. */
+  /** Records that a write of the group has begun together with that of another group. */
   beginWriteWith(other: NodeGroup): void {
     this.isBeingWritten = true;
     this.lastWriteMs = other.lastWriteMs;
   }
 
-  /** The write of it has ended. */
+  /** Records that the write of the group has ended. */
   endWrite(): void {
     this.isBeingWritten = false;
   }
 
-  /** It is to be written later than its pace would have it. */
+  /** Postpones the next write by `delayMs` beyond the usual time between two writes. */
   postponeWrite(delayMs: number): void {
     this.lastWriteMs += delayMs;
   }
--- a/src/cluster/node-health.ts
+++ b/src/cluster/node-health.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader concludes from the silence and the failures of its nodes. This decides which nodes are used and replaced,
- * never whether a task is over: that is for the lease rules alone.
+ * Judges the health of nodes by their silence and their failures. The result decides which nodes are used and which
+ * are replaced. It never decides whether a task has ended, because only the lease rules may decide that.
  */
 import {
   BOOT_TIME_FALLBACK_S,
@@ -24,51 +24,57 @@
 } from '../constants.js';
 import type { ClusterState, Job, Node } from './cluster-state.js';
 
-/** Dependencies of the judgement of nodes. */
+/** Dependencies of `NodeHealth`. */
 export interface NodeHealthDependencies {
   readonly clusterState: Pick<ClusterState, 'nodes'>;
-  /** Seconds between two heartbeats of a worker. */
+  /** Time between two heartbeats of a worker, in seconds. */
   readonly heartbeatIntervalS: number;
-  /** Steady ms at which the term began. */
-  readonly termStartedMs: number;
-  /** Finds an instance type by its name; undefined: the catalog doesn't have it. */
-  readonly instanceTypeOf: (name: string) => { readonly bootS: number } | undefined;
+  /** Steady time in ms at which the term began. */
+  readonly termStartMs: number;
+  /** Finds an instance type by its name. Returns undefined if the catalog does not have it. */
+  readonly findInstanceType: (typeName: string) => { readonly bootS: number } | undefined;
   readonly findJob: (uid: string) => Job | undefined;
-  /** Whether another controller renews the lease of the node behind a partition. */
+  /** Whether another controller renews the lease of the node while a partition separates the node from the leader. */
   readonly isLeaseDelegated: (node: Node) => boolean;
-  /** Whether a zone has controllers and none of them is alive: it may be partitioned from the leader. */
+  /** Whether a zone has controllers but none of them is alive. Such a zone may be partitioned from the leader. */
   readonly isZoneUnreachable: (zone: string) => boolean;
 }
 
-/** The nodes whose heartbeats come through one controller. */
+/** Counts of the nodes whose heartbeats come through one controller. */
 interface RelayGroup {
-  total: number;
-  overdue: number;
+  nodeCount: number;
+  overdueCount: number;
 }
 
 /** Judges nodes by their heartbeats, by whether responses reach them, and by the jobs that failed on them. */
 export class NodeHealth {
   private isMassOutageSuspected = false;
-  /** Controllers of which many nodes are overdue together; '' stands for the nodes without a heartbeat in this term. */
+  /**
+   * Controllers of which many nodes are overdue together. The empty name stands for the nodes that have sent no
+   * heartbeat in this term.
+   */
   private readonly suspectControllers = new Set<string>();
-  /** Steady ms at which each zone was last found unreachable. */
-  private readonly zoneUnreachableMs = new Map<string, number>();
-  /** What `isZoneUnreachable` found since the last evaluation. */
-  private readonly zoneReachability = new Map<string, boolean>();
+  /** Steady time in ms at which each zone was last found unreachable. */
+  private readonly zoneLastUnreachableMs = new Map<string, number>();
+  /** The results of `isZoneUnreachable` since the last evaluation, by zone. */
+  private readonly isUnreachableByZone = new Map<string, boolean>();
   private readonly heartbeatIntervalMs: number;
-  /** For how long a worker whose controller is out of reach may be silent until it is heard through another one. */
+  /**
+   * Time for which a worker whose controller is unreachable may be silent until it is heard through another
+   * controller.
+   */
   private readonly controllerSwitchMs: number;
 
-  constructor(private readonly deps: NodeHealthDependencies) {
-    this.heartbeatIntervalMs = deps.heartbeatIntervalS * 1000;
+  constructor(private readonly dependencies: NodeHealthDependencies) {
+    this.heartbeatIntervalMs = dependencies.heartbeatIntervalS * 1000;
     this.controllerSwitchMs =
-      deps.heartbeatIntervalS * HEARTBEAT_GAP_RATIO * 1000 +
+      dependencies.heartbeatIntervalS * HEARTBEAT_GAP_RATIO * 1000 +
       WORKER_GIVE_UP_MS +
       WORKER_RETRY_MS +
       HEARTBEAT_REDIRECT_MARGIN_MS;
   }
 
-  /** Whether new tasks may be placed on the node, as far as its health goes. */
+  /** Whether the health of the node allows new tasks to be placed on it. */
   isSchedulable(node: Node, nowMs: number): boolean {
     return (
       node.lastHeartbeatMs > nowMs - UNSCHEDULABLE_AFTER_HEARTBEATS * this.heartbeatIntervalMs &&
@@ -80,131 +86,143 @@
     );
   }
 
-  /** Whether tasks of several jobs failed on the node that run elsewhere, so that the node rather has the fault. */
+  /**
+   * Whether tasks of several jobs failed on the node although these jobs run elsewhere. The fault is then probably
+   * that of the node.
+   */
   isQuarantined(node: Node): boolean {
-    // Asked several times in a scheduling cycle for each node, and nearly none has failed anything.
+    // This is checked several times per scheduling cycle for each node, and on nearly all nodes no job has failed.
     if (node.failedJobs.size < QUARANTINE_AFTER_JOBS) return false;
-    let failedHereOnly = 0;
+    let healthyJobsFailedHere = 0;
     for (const uid of node.failedJobs) {
-      const job = this.deps.findJob(uid);
-      // A job that failed on several nodes has the fault itself.
-      if (job && job.progress.failedNodes.size <= QUARANTINE_AFTER_JOBS) failedHereOnly++;
+      const job = this.dependencies.findJob(uid);
+      // A job that failed on several nodes is probably faulty itself.
+      if (job && job.progress.failedNodes.size <= QUARANTINE_AFTER_JOBS) healthyJobsFailedHere++;
     }
-    return failedHereOnly >= QUARANTINE_AFTER_JOBS;
+    return healthyJobsFailedHere >= QUARANTINE_AFTER_JOBS;
   }
 
-  /** Whether the node counts as lost: it is silent for too long, or responses don't reach it. */
+  /** Whether the node counts as lost: it has been silent for too long, or responses do not reach it. */
   isUnreachable(node: Node, nowMs: number): boolean {
-    if (this.deps.isLeaseDelegated(node)) return false;
+    if (this.dependencies.isLeaseDelegated(node)) return false;
     if (node.unacknowledgedResponses >= MAX_UNACKNOWLEDGED_RESPONSES) return true;
-    return this.silenceMs(node, nowMs) > this.maxSilenceMs(node);
+    return this.computeSilenceMs(node, nowMs) > this.getMaxSilenceMs(node);
   }
 
-  /** Whether the node was not heard in this term and, by the records, never had a task. */
+  /** Whether the node has sent no heartbeat in this term and, according to the stored records, has never been used. */
   isBooting(node: Node): boolean {
     return node.lastHeartbeatMs === -Infinity && !node.persisted;
   }
 
-  /** Whether the node has been booting for so long that it will probably never be heard. */
+  /** Whether the node has been booting for so long that it will probably never send a heartbeat. */
   isBootOverdue(node: Node, nowMs: number): boolean {
-    // A new leader gives those launched before its term some time to be heard.
-    if (!this.isBooting(node) || nowMs - this.deps.termStartedMs < STUCK_BOOT_MIN_MS / 2) return false;
-    const bootMs = (this.deps.instanceTypeOf(node.type)?.bootS ?? BOOT_TIME_FALLBACK_S) * 1000;
+    // A new leader gives nodes that were launched before its term some time to send a heartbeat.
+    if (!this.isBooting(node) || nowMs - this.dependencies.termStartMs < STUCK_BOOT_MIN_MS / 2) return false;
+    const bootMs = (this.dependencies.findInstanceType(node.type)?.bootS ?? BOOT_TIME_FALLBACK_S) * 1000;
     return nowMs - node.launchedMs > Math.max(STUCK_BOOT_MIN_MS, bootMs * STUCK_BOOT_RATIO);
   }
 
   /**
-   * Whether most nodes fell silent together: then the leader is rather partitioned from them than they are all lost, and
-   * another controller may reach them before their leases expire.
+   * Whether most nodes fell silent together. It is then more likely that the leader is partitioned from them than
+   * that all of them are lost, and another controller may reach them before their leases expire.
    */
   isLeaderPartitioned(nowMs: number): boolean {
-    if (nowMs - this.deps.termStartedMs < PARTITION_CHECK_AFTER_MS) return false;
+    if (nowMs - this.dependencies.termStartMs < PARTITION_CHECK_AFTER_MS) return false;
     const maxSilenceMs = UNREACHABLE_AFTER_HEARTBEATS * this.heartbeatIntervalMs;
-    let silent = 0;
-    let total = 0;
-    for (const node of this.deps.clusterState.nodes.values()) {
+    let silentCount = 0;
+    let nodeCount = 0;
+    for (const node of this.dependencies.clusterState.nodes.values()) {
       if (node.lastHeartbeatMs === -Infinity || nowMs > node.leaseExpiryMs) continue;
-      // In a zone whose controllers aren't alive for the leader either, they renew the leases.
+      // If the controllers of the zone are not alive for the leader either, they renew the leases of its nodes.
       if (this.isZoneUnreachable(node.zone)) continue;
-      total++;
-      if (this.silenceMs(node, nowMs) > maxSilenceMs) silent++;
+      nodeCount++;
+      if (this.computeSilenceMs(node, nowMs) > maxSilenceMs) silentCount++;
     }
-    return total >= MIN_NODES_TO_JUDGE && silent > total * PARTITIONED_NODES_SHARE;
+    return nodeCount >= MIN_NODES_TO_JUDGE && silentCount > nodeCount * PARTITIONED_NODES_SHARE;
   }
 
   /**
-   * Finds what concerns many nodes at once; to be called before nodes are judged one by one. Nodes count from when their
-   * heartbeats are overdue, long before the first of them counts as lost: once that is terminated, it no longer counts.
+   * Finds outages that affect many nodes at once. This has to be called before nodes are judged one by one. Nodes are
+   * counted as soon as their heartbeats are overdue, long before the first of them counts as lost, because a lost
+   * node is terminated and then no longer counted.
    */
-  evaluate(nowMs: number): void {
-    this.zoneReachability.clear();
-    const total: RelayGroup = { total: 0, overdue: 0 };
+  evaluateNodes(nowMs: number): void {
+    this.isUnreachableByZone.clear();
+    const allNodes: RelayGroup = { nodeCount: 0, overdueCount: 0 };
     const groups = new Map<string, RelayGroup>();
-    for (const node of this.deps.clusterState.nodes.values()) {
-      if (this.isBooting(node) || this.deps.isLeaseDelegated(node)) continue;
+    for (const node of this.dependencies.clusterState.nodes.values()) {
+      if (this.isBooting(node) || this.dependencies.isLeaseDelegated(node)) continue;
       let group = groups.get(node.relayedBy);
-      if (!group) groups.set(node.relayedBy, (group = { total: 0, overdue: 0 }));
-      if (this.isZoneUnreachable(node.zone)) this.zoneUnreachableMs.set(node.zone, nowMs);
-      const isOverdue = this.silenceMs(node, nowMs) > this.heartbeatIntervalMs * OVERDUE_AFTER_HEARTBEATS;
+      if (!group) groups.set(node.relayedBy, (group = { nodeCount: 0, overdueCount: 0 }));
+      if (this.isZoneUnreachable(node.zone)) this.zoneLastUnreachableMs.set(node.zone, nowMs);
+      const isOverdue =
+        this.computeSilenceMs(node, nowMs) > this.heartbeatIntervalMs * OVERDUE_AFTER_HEARTBEATS;
       countNode(group, isOverdue);
-      countNode(total, isOverdue);
+      countNode(allNodes, isOverdue);
     }
-    this.isMassOutageSuspected = isOutage(total.overdue, total.total, MASS_OUTAGE_NODES_SHARE);
-    this.findSuspectControllers(groups, total.total);
+    this.isMassOutageSuspected = isOutage(allNodes.overdueCount, allNodes.nodeCount, MASS_OUTAGE_NODES_SHARE);
+    this.findSuspectControllers(groups, allNodes.nodeCount);
   }
 
-  /** Whether many nodes are overdue at once: then they are rather partitioned from the leader than lost. */
+  /** Whether many nodes are overdue at once. They are then more likely to be partitioned from the leader than lost. */
   isMassOutage(): boolean {
     return this.isMassOutageSuspected;
   }
 
   /**
-   * Whether a zone was unreachable a moment ago, so that its nodes may be about to be heard again: they are worth more than
-   * new ones that would have to boot.
+   * Whether a zone was unreachable a moment ago, so that its nodes may soon be heard again. These nodes are worth
+   * more than new nodes, which would have to boot.
    */
   isZoneRecovering(zone: string, nowMs: number): boolean {
-    return nowMs - (this.zoneUnreachableMs.get(zone) ?? -Infinity) < this.controllerSwitchMs;
+    return nowMs - (this.zoneLastUnreachableMs.get(zone) ?? -Infinity) < this.controllerSwitchMs;
   }
 
-  /** Whether a zone may be partitioned from the leader: none of its controllers is alive. Kept until the next evaluation. */
+  /**
+   * Whether a zone may be partitioned from the leader because none of its controllers is alive. The result is kept
+   * until the next evaluation.
+   */
   isZoneUnreachable(zone: string): boolean {
-    let isUnreachable = this.zoneReachability.get(zone);
+    let isUnreachable = this.isUnreachableByZone.get(zone);
     if (isUnreachable === undefined) {
-      isUnreachable = this.deps.isZoneUnreachable(zone);
-      this.zoneReachability.set(zone, isUnreachable);
+      isUnreachable = this.dependencies.isZoneUnreachable(zone);
+      this.isUnreachableByZone.set(zone, isUnreachable);
     }
     return isUnreachable;
   }
 
-  private findSuspectControllers(groups: ReadonlyMap<string, RelayGroup>, totalNodes: number): void {
+  private findSuspectControllers(groups: ReadonlyMap<string, RelayGroup>, allNodesCount: number): void {
     this.suspectControllers.clear();
-    for (const [controller, { total, overdue }] of groups) {
-      // The nodes without a heartbeat in this term remain of all nodes, not of those of one controller.
-      const groupSize = controller === '' ? totalNodes : total;
-      if (isOutage(overdue, groupSize, SUSPECT_CONTROLLER_SHARE)) this.suspectControllers.add(controller);
+    for (const [controller, { nodeCount, overdueCount }] of groups) {
+      // Nodes without a heartbeat in this term belong to no controller, so they are compared with the number of all
+      // nodes.
+      const groupSize = controller === '' ? allNodesCount : nodeCount;
+      if (isOutage(overdueCount, groupSize, SUSPECT_CONTROLLER_SHARE))
+        this.suspectControllers.add(controller);
     }
   }
 
-  private silenceMs(node: Node, nowMs: number): number {
-    // Heartbeats without this term's fencing token count once: responses may not reach the worker.
-    return nowMs - Math.max(node.lastHeartbeatMs, node.firstContactMs, this.deps.termStartedMs);
+  private computeSilenceMs(node: Node, nowMs: number): number {
+    // Only the first heartbeat without this term's fencing token counts, because responses may not reach the worker.
+    return nowMs - Math.max(node.lastHeartbeatMs, node.firstContactMs, this.dependencies.termStartMs);
   }
 
-  private maxSilenceMs(node: Node): number {
-    // Rather its controller is partitioned or has ended: the worker gives it up and turns to another one.
+  private getMaxSilenceMs(node: Node): number {
+    // It is more likely that the controller is partitioned or has ended than that the node is lost. The worker then
+    // gives up on this controller and switches to another one.
     if (this.suspectControllers.has(node.relayedBy)) return this.controllerSwitchMs;
-    // Where nearly all other nodes were heard in a new term, nothing waits for the few that are lost.
+    // If nearly all other nodes were heard in a new term, there is no reason to wait longer for the few that are
+    // lost.
     if (node.relayedBy === '') return this.controllerSwitchMs - WORKER_GIVE_UP_MS;
     return UNREACHABLE_AFTER_HEARTBEATS * this.heartbeatIntervalMs;
   }
 }
 
 function countNode(group: RelayGroup, isOverdue: boolean): void {
-  group.total++;
-  if (isOverdue) group.overdue++;
+  group.nodeCount++;
+  if (isOverdue) group.overdueCount++;
 }
 
-/** Whether more nodes are overdue than would be by failures of their own. */
-function isOutage(overdue: number, total: number, share: number): boolean {
-  return overdue > Math.max(MAX_ISOLATED_OUTAGES, total * share);
+/** Whether more nodes are overdue than isolated failures of nodes would explain. */
+function isOutage(overdueCount: number, nodeCount: number, maxOverdueShare: number): boolean {
+  return overdueCount > Math.max(MAX_ISOLATED_OUTAGES, nodeCount * maxOverdueShare);
 }
--- a/src/cluster/node-records.ts
+++ b/src/cluster/node-records.ts
@@ -1,6 +1,4 @@
-/**
- * Keeps the nodes in the state store, so that the next leader knows where tasks may run.
- */
+/** Stores the nodes in the state store, so that the next leader knows where tasks may run. */
 import { MALFORMED_VALUE_RETRY_MS, MAX_INSTANCES_PER_LAUNCH, NODE_RECORD_BYTES } from '../constants.js';
 import { decodeNodeGroup, encodedBytes, NODE_GROUPS_PREFIX, nodeGroupKey } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
@@ -10,78 +8,81 @@
 import type { ClusterState, Node, Resources } from './cluster-state.js';
 import { NodeGroup, type NodeGroupKind } from './node-group.js';
 
-/** Dependencies of the node records. */
+/** Dependencies of `NodeRecords`. */
 export interface NodeRecordsDependencies {
   readonly replica: StateReplica;
-  /** The leader's term: it stands in the names of groups, which are therefore never used again. */
-  readonly term: number;
-  /** Largest value that the state store takes, in bytes. */
+  /** Number of the leader's term. It is part of the names of groups, so that these names are never reused. */
+  readonly termNumber: number;
+  /** Maximum size in bytes of a value in the state store. */
   readonly maxValueBytes: number;
-  /** Most operations in one transaction. */
+  /** Maximum number of operations in one transaction. */
   readonly maxOperations: number;
-  readonly write: (conditions: Condition[], operations: Operation[]) => Promise<CommitResult>;
-  /** Sends the result of a write through the leader's mailbox to `handleWriteResult`. */
-  readonly writeEnded: (result: GroupWriteResult) => void;
+  readonly commit: (conditions: Condition[], operations: Operation[]) => Promise<CommitResult>;
+  /** Called when a write has ended. The result comes back through the leader's mailbox to `handleWriteResult`. */
+  readonly onWriteEnded: (result: NodeGroupWriteResult) => void;
 }
 
-/** The end of a write of one group. */
-export interface GroupWriteResult {
+/** The result of a write of one group. */
+export interface NodeGroupWriteResult {
   readonly group: NodeGroup;
-  /** The nodes that the written value had as possibly holding tasks. */
+  /** The nodes that were marked as used in the written value. */
   readonly usedNodes: readonly Node[];
-  /** Whether the state store has that value for certain. */
-  readonly applied: boolean;
+  /** Whether the state store certainly has that value. */
+  readonly isApplied: boolean;
 }
 
-/** A group that a split has made or left, and what its value says. */
+/** A group that results from a split, and the nodes that are marked as used in its value. */
 interface SplitPart {
   readonly group: NodeGroup;
   readonly usedNodes: readonly Node[];
 }
 
 /**
- * The nodes in the state store: each stands there as possibly holding tasks before its first start command. Those launched
- * together share a value, and their changes go out in one write: hundreds of nodes come up within seconds, and the
- * store takes a few writes a second.
+ * Stores the nodes in the state store. Each node is marked there as used, that is, as possibly holding tasks, before
+ * its first start command is sent. Nodes that were launched together share a value, and their changes are written
+ * together, because hundreds of nodes boot within seconds and the store accepts only a few writes per second.
  */
 export class NodeRecords {
-  private readonly groupOf = new Map<Node, NodeGroup>();
+  private readonly groupByNode = new Map<Node, NodeGroup>();
   private readonly changedGroups = new Set<NodeGroup>();
   private readonly maxGroupSize: number;
   private lastGroupNumber = 0;
 
-  constructor(private readonly deps: NodeRecordsDependencies) {
+  constructor(private readonly dependencies: NodeRecordsDependencies) {
     this.maxGroupSize = Math.max(
       1,
-      Math.min(MAX_INSTANCES_PER_LAUNCH, Math.floor(deps.maxValueBytes / NODE_RECORD_BYTES)),
+      Math.min(MAX_INSTANCES_PER_LAUNCH, Math.floor(dependencies.maxValueBytes / NODE_RECORD_BYTES)),
     );
   }
 
-  /** Adds the nodes that earlier terms recorded to the table; returns each with whether it may hold tasks. */
+  /**
+   * Adds the nodes that earlier terms recorded to the cluster state. Returns each node with whether it may hold
+   * tasks.
+   */
   load(
     clusterState: ClusterState,
-    capacityOf: (type: string) => Resources,
+    getCapacity: (typeName: string) => Resources,
     nowMs: number,
   ): Map<Node, boolean> {
-    const loaded = new Map<Node, boolean>();
-    for (const { key, value } of this.deps.replica.listPrefix(NODE_GROUPS_PREFIX)) {
+    const isUsedByNode = new Map<Node, boolean>();
+    for (const { key, value } of this.dependencies.replica.listPrefix(NODE_GROUPS_PREFIX)) {
       const record = decodeNodeGroup(value);
       if (!record) continue;
       const { type, zone, spot } = record;
       const group = new NodeGroup(key, { type, zone, spot });
       for (const [name, address] of record.nodeAddresses) {
-        const capacity = capacityOf(type);
+        const capacity = getCapacity(type);
         const node = clusterState.addNode(
           { name, address: address ?? '', type, zone, spot, capacity },
           nowMs,
         );
         if (address !== undefined) node.markPersisted();
         group.add(node, node.persisted);
-        this.groupOf.set(node, group);
-        loaded.set(node, node.persisted);
+        this.groupByNode.set(node, group);
+        isUsedByNode.set(node, node.persisted);
       }
     }
-    return loaded;
+    return isUsedByNode;
   }
 
   /** Records nodes of one offering that were launched together. */
@@ -89,30 +90,30 @@
     let group: NodeGroup | undefined;
     for (const node of nodes) {
       if (!group || group.size >= this.maxGroupSize) group = this.createGroup(node);
-      this.addTo(group, node);
+      this.addToGroup(group, node);
     }
   }
 
-  /** The node was heard: once that is written, it may be given tasks. */
+  /** Marks a node as used because its worker sent a heartbeat. The node may get tasks once the mark is stored. */
   markUsed(node: Node): void {
-    let group = this.groupOf.get(node);
+    let group = this.groupByNode.get(node);
     if (!group) {
       group = this.createGroup(node);
-      this.addTo(group, node);
+      this.addToGroup(group, node);
     }
     if (group.markUsed(node)) this.changedGroups.add(group);
   }
 
-  /** The node was deleted. */
+  /** Removes a node that was deleted. */
   remove(node: Node): void {
-    const group = this.groupOf.get(node);
+    const group = this.groupByNode.get(node);
     if (!group) return;
-    this.groupOf.delete(node);
+    this.groupByNode.delete(node);
     group.remove(node);
     this.changedGroups.add(group);
   }
 
-  /** Writes what has changed, each group at most once at a time and not too often. */
+  /** Writes the groups that have changed, each with at most one write at a time and not too often. */
   flush(nowMs: number): void {
     for (const group of this.changedGroups) {
       if (!group.mayBeWritten(nowMs)) continue;
@@ -121,28 +122,28 @@
     }
   }
 
-  /** Ms until a changed group may be written; Infinity: none has changed. */
-  flushDelayMs(nowMs: number): number {
+  /** Returns the time in ms until a changed group may be written. Infinity if no group has changed. */
+  computeFlushDelayMs(nowMs: number): number {
     let delayMs = Infinity;
     for (const group of this.changedGroups)
-      if (!group.isWriting) delayMs = Math.min(delayMs, group.writeDelayMs(nowMs));
+      if (!group.isWriting) delayMs = Math.min(delayMs, group.computeWriteDelayMs(nowMs));
     return Math.max(0, delayMs);
   }
 
-  /** Takes over the result of a write; what was not applied is written again. */
-  handleWriteResult({ group, usedNodes, applied }: GroupWriteResult): void {
+  /** Applies the result of a write. A group whose write was not applied is written again. */
+  handleWriteResult({ group, usedNodes, isApplied }: NodeGroupWriteResult): void {
     group.endWrite();
-    if (applied) for (const node of usedNodes) node.markPersisted();
+    if (isApplied) for (const node of usedNodes) node.markPersisted();
     else this.changedGroups.add(group);
   }
 
   private createGroup(kind: NodeGroupKind): NodeGroup {
-    return new NodeGroup(nodeGroupKey(`${this.deps.term}-${++this.lastGroupNumber}`), kind);
+    return new NodeGroup(nodeGroupKey(`${this.dependencies.termNumber}-${++this.lastGroupNumber}`), kind);
   }
 
-  private addTo(group: NodeGroup, node: Node): void {
+  private addToGroup(group: NodeGroup, node: Node): void {
     group.add(node, false);
-    this.groupOf.set(node, group);
+    this.groupByNode.set(node, group);
     this.changedGroups.add(group);
   }
 
@@ -150,43 +151,46 @@
     group.beginWrite(nowMs);
     const { key } = group;
     const usedNodes = group.usedNodes();
-    const stored = this.deps.replica.get(key);
-    const value = group.toValue();
+    const stored = this.dependencies.replica.get(key);
+    const value = group.toStoredValue();
     if (!stored && value === undefined) {
       group.endWrite();
       return;
     }
     const modRevision = stored?.modRevision ?? 0;
-    // It was written under larger limits, or with longer names.
-    if (value !== undefined && group.size > 1 && encodedBytes(value) > this.deps.maxValueBytes) {
+    // The group was created under larger limits, or its nodes have longer names than expected.
+    if (value !== undefined && group.size > 1 && encodedBytes(value) > this.dependencies.maxValueBytes) {
       this.splitGroup(group, modRevision);
       return;
     }
-    void this.deps
-      .write([{ key, modRevision }], [{ key, value }])
-      .then((result) => this.deliverResult({ group, usedNodes }, result));
+    void this.dependencies
+      .commit([{ key, modRevision }], [{ key, value }])
+      .then((result) => this.deliverWriteResult({ group, usedNodes }, result));
   }
 
-  private deliverResult({ group, usedNodes }: SplitPart, result: CommitResult): void {
-    // What the store calls malformed stays so: it is not sent again at once.
+  private deliverWriteResult({ group, usedNodes }: SplitPart, result: CommitResult): void {
+    // A value that the store rejects as malformed would be rejected again, so it is not resent at once.
     if (result.outcome === 'refused' && result.malformed) group.postponeWrite(MALFORMED_VALUE_RETRY_MS);
-    this.deps.writeEnded({ group, usedNodes, applied: result.outcome === 'applied' });
+    this.dependencies.onWriteEnded({ group, usedNodes, isApplied: result.outcome === 'applied' });
   }
 
   /**
-   * Moves what no longer fits in the group's value to groups of its own, in one transaction, so that no node ever stands in
-   * two groups or in none.
+   * Moves the nodes that no longer fit into the value of the group to new groups. One transaction writes all these
+   * groups, so that no node is ever stored in two groups or in none.
    */
   private splitGroup(group: NodeGroup, modRevision: WireInt): void {
-    const members = group.takeAll();
-    const count = Math.min(this.deps.maxOperations, Math.ceil(members.length / this.maxGroupSize));
-    const partSize = Math.ceil(members.length / count);
-    const parts = Array.from({ length: count }, (_, index): SplitPart => {
+    const members = group.removeAll();
+    const partCount = Math.min(
+      this.dependencies.maxOperations,
+      Math.ceil(members.length / this.maxGroupSize),
+    );
+    const partSize = Math.ceil(members.length / partCount);
+    const parts = Array.from({ length: partCount }, (_, index): SplitPart => {
       const part = index === 0 ? group : this.createGroup(group.kind);
       part.beginWriteWith(group);
       for (const [node, isUsed] of members.slice(index * partSize, (index + 1) * partSize)) {
         part.add(node, isUsed);
-        this.groupOf.set(node, part);
+        this.groupByNode.set(node, part);
       }
       return { group: part, usedNodes: part.usedNodes() };
     });
@@ -195,25 +199,25 @@
       key: part.group.key,
       modRevision: index === 0 ? modRevision : 0,
     }));
-    void this.deps
-      .write(conditions, operations)
+    void this.dependencies
+      .commit(conditions, operations)
       .then((result) => this.handleSplitResult(group, parts, result));
   }
 
   private handleSplitResult(group: NodeGroup, parts: readonly SplitPart[], result: CommitResult): void {
     if (result.outcome === 'applied') {
-      for (const part of parts) this.deliverResult(part, result);
+      for (const part of parts) this.deliverWriteResult(part, result);
       return;
     }
-    // All stay one group, as the state store may still have it, and it is written again.
+    // All nodes stay in one group, because the state store may still have that group. It is written again.
     for (const part of parts) if (part.group !== group) this.mergeInto(group, part.group);
-    for (const part of parts) if (part.group === group) this.deliverResult(part, result);
+    for (const part of parts) if (part.group === group) this.deliverWriteResult(part, result);
   }
 
   private mergeInto(group: NodeGroup, part: NodeGroup): void {
     for (const [node, isUsed] of part.entries()) {
       group.add(node, isUsed);
-      this.groupOf.set(node, group);
+      this.groupByNode.set(node, group);
     }
     this.changedGroups.delete(part);
   }
--- a/src/cluster/node.ts
+++ b/src/cluster/node.ts
@@ -1,5 +1,6 @@
 /**
- * A node of the cluster as the leader of one term knows it. Its state changes by the named transitions of `Node` alone.
+ * A node of the cluster as the leader of one term knows it. Its state changes only through the transition methods of
+ * `Node`.
  */
 import { MAX_UNACKNOWLEDGED_RESPONSES } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
@@ -7,115 +8,121 @@
 import { attemptKey, type Attempt } from './attempt.js';
 import { addResources, NO_RESOURCES, type Resources } from './resources.js';
 
-/** What is known of a node before its worker is heard. */
+/** What is known about a node before its worker sends a heartbeat. */
 export interface NodeDescription {
   readonly name: string;
-  /** `host:port` of its worker; empty while unknown. */
+  /** `host:port` of the worker. Empty while it is unknown. */
   readonly address: string;
-  /** Name of its instance type. */
+  /** Name of the instance type. */
   readonly type: string;
   readonly zone: string;
-  /** Whether the cloud may reclaim it at short notice. */
+  /** Whether the cloud may reclaim the node at short notice. */
   readonly spot: boolean;
-  /** All that tasks may use of it. */
+  /** All resources of the node that tasks may use. */
   readonly capacity: Resources;
 }
 
-/** One machine of the cluster. Times are of the steady clock, in ms. */
+/** One machine of the cluster. All times are steady times in ms. */
 export interface Node extends NodeDescription {
-  /** Counts the nodes as they become known: the oldest are filled first, so that the others become idle. */
+  /** Position in the order in which nodes became known. The oldest are filled first, so that the others become idle. */
   readonly ordinal: number;
-  /** The controller through which its last heartbeat in this term came; empty: none did. */
+  /** The controller through which the last heartbeat of this term came. Empty if no heartbeat arrived in this term. */
   readonly relayedBy: string;
-  /** What its attempts take, those that may still be started included. */
+  /** Resources that the attempts on the node take, including attempts that may still be started. */
   readonly allocated: Resources;
-  /** All attempts that are, or may be, on it, by `attemptKey`, in the order in which they became known. */
+  /** All attempts that are or may be on the node, by `attemptKey`, in the order in which they became known. */
   readonly attempts: ReadonlyMap<string, Attempt>;
-  /** The worker's incarnation: a larger number each time it starts anew or loses its lease; 0: none was seen. */
+  /** The worker's incarnation, which grows each time the worker restarts or loses its lease. 0 if none was seen. */
   readonly incarnation: WireInt;
   /** Sequence number of the newest heartbeat within the incarnation. */
   readonly sequence: WireInt;
-  /** When its last heartbeat came; -Infinity: none did in this term. */
+  /** When the last heartbeat arrived. -Infinity if no heartbeat arrived in this term. */
   readonly lastHeartbeatMs: number;
-  /** When its first heartbeat without this term's fencing token came in this term; -Infinity: none did. */
+  /** When the first heartbeat without this term's fencing token arrived in this term. -Infinity if none did. */
   readonly firstContactMs: number;
-  /** When its heartbeat was last answered with 200. */
+  /** When a heartbeat was last answered with status 200. */
   readonly lastResponseMs: number;
-  /** Responses in a row of which its heartbeats show no effect. */
+  /** Number of responses in a row that have no effect according to the heartbeats. */
   readonly unacknowledgedResponses: number;
-  /** When its tasks are certainly gone, unless its lease is extended; -Infinity: it has no lease. */
+  /** When the tasks have certainly ended, unless the lease is extended. -Infinity if the node has no lease. */
   readonly leaseExpiryMs: number;
   /** Incarnations up to this one have certainly ended. */
   readonly fencedIncarnation: WireInt;
-  /** Whether a heartbeat showed this term's fencing token, so that its list of attempts is complete. */
+  /** Whether a heartbeat showed this term's fencing token, so that the list of attempts is complete. */
   readonly reconciled: boolean;
-  /** Whether the state store has it as possibly holding tasks, as it must before its first start. */
+  /** Whether the state store marks the node as possibly holding tasks. It has to before the first start command. */
   readonly persisted: boolean;
-  /** When it was launched, as far as is known. */
+  /** When the node was launched, as far as this is known. */
   readonly launchedMs: number;
-  /** When the cloud's list that last had it was requested; -Infinity: none had it. */
+  /** When the cloud's last instance list that contains the node was requested. -Infinity if none contains it. */
   readonly lastListedMs: number;
-  /** When the cloud will reclaim it; Infinity: it gave no notice. */
+  /** When the cloud will reclaim the node. Infinity if the cloud gave no interruption notice. */
   readonly interruptionMs: number;
-  /** Since when it has had no task; Infinity while it has one. */
+  /** Since when the node has had no task. Infinity while it has one. */
   readonly idleSinceMs: number;
-  /** Whether its termination was requested: nothing new is placed on it. */
+  /** Whether the termination of the node was requested. No new tasks are placed on it then. */
   readonly terminating: boolean;
-  /** Images that it probably has in its cache, with their size in GB; the least recently used first. */
+  /** Images that are probably in the node's cache, with their sizes in GB, the least recently used one first. */
   readonly cachedImages: ReadonlyMap<string, number>;
-  /** The uids of jobs of which a task failed on it. */
+  /** Uids of the jobs of which a task failed on the node. */
   readonly failedJobs: ReadonlySet<string>;
 
-  /** A heartbeat came through this controller. */
+  /** Records that a heartbeat came through this controller. */
   recordRelay(controller: string): void;
-  /** A heartbeat came that doesn't show this term's fencing token; only the first of them counts. */
+  /** Records that a heartbeat without this term's fencing token arrived. Only the first such heartbeat counts. */
   recordFirstContact(nowMs: number): void;
-  /** Its worker is reached at this `host:port`. */
+  /** Records the `host:port` at which the worker can be reached. */
   recordAddress(address: string): void;
-  /** A heartbeat came, rather than the response to a command. */
+  /** Records that a heartbeat arrived, rather than the response to a command. */
   recordHeartbeat(nowMs: number): void;
-  /** Takes over what a newer status tells of the node itself. */
+  /** Applies what a newer status says about the node itself. */
   recordStatus(
     status: Pick<Heartbeat, 'incarnation' | 'sequence' | 'address' | 'interruptionNoticeS'>,
     nowMs: number,
   ): void;
-  /** Its heartbeat is answered with 200. */
+  /** Records that a heartbeat is answered with status 200. */
   recordResponse(nowMs: number): void;
-  /** Its heartbeats show the effect of a response. */
+  /** Records that the heartbeats show the effect of a response. */
   acknowledgeResponses(): void;
-  /** Its heartbeat shows that a response had no effect. */
+  /** Records that a heartbeat shows that a response had no effect. */
   countUnacknowledgedResponse(): void;
-  /** Its lease expired although it was answered: responses certainly don't arrive. */
+  /** Records that the lease expired although a heartbeat was answered, so that responses certainly do not arrive. */
   markResponsesLost(): void;
-  /** A lease of its worker may last until `expiryMs`; an earlier expiry than the known one changes nothing. */
+  /** Records that a lease of the worker may last until `expiryMs`. An expiry before the known one changes nothing. */
   extendLease(expiryMs: number): void;
-  /** Its lease has expired: it counts as never contacted. */
+  /** Records that the lease has expired. The node then counts as never contacted. */
   expireLease(): void;
-  /** Its present incarnation has certainly ended: nothing of it is accepted any more. */
+  /** Records that the current incarnation has certainly ended. No message of it is accepted any more. */
   fence(): void;
-  /** Its list of attempts is complete from now on. */
+  /** Records that the list of attempts is complete from now on. */
   markReconciled(): void;
-  /** The state store has it as possibly holding tasks. */
+  /** Records that the node is marked in the state store as possibly holding tasks. */
   markPersisted(): void;
-  /** Its termination was requested. */
+  /** Records that the termination of the node was requested. */
   markTerminating(): void;
-  /** It has a task, or is about to get one. */
+  /** Records that the node has a task or is about to get one. */
   markBusy(): void;
-  /** It has no task since `nowMs`. */
+  /** Records that the node has had no task since `nowMs`. */
   markIdle(nowMs: number): void;
-  /** The cloud's list has it. Its launch time counts the first time only, and if it is earlier than the known one. */
+  /**
+   * Records that the cloud's instance list contains the node. Only the launch time of the first list counts, and only
+   * if it is earlier than the known one.
+   */
   recordListing(listing: { readonly requestedMs: number; readonly launchedMs: number }): void;
-  /** A task of this job failed on it. */
+  /** Records that a task of this job failed on the node. */
   recordFailedJob(jobUid: string): void;
-  /** It has used this image now. */
+  /** Records that the node has just used this image. */
   cacheImage(image: string, sizeGb: number): void;
-  /** The instance catalog has its capacity. For the table alone, which keeps an index of free capacity. */
+  /**
+   * Sets the capacity that the instance catalog gives. Only `ClusterState` may call this, because it keeps an index
+   * of free capacity.
+   */
   setCapacity(capacity: Resources): void;
-  /** For the table alone: adds an attempt that takes resources of it. */
+  /** Adds an attempt that takes resources of the node. Only `ClusterState` may call this. */
   addAttempt(attempt: Attempt): void;
-  /** For the table alone: the attempt no longer takes resources, and is still listed. */
+  /** Frees the resources of an attempt that stays in the list of attempts. Only `ClusterState` may call this. */
   releaseResources(attempt: Attempt): void;
-  /** For the table alone: the attempt is over. */
+  /** Removes an attempt that has ended. Only `ClusterState` may call this. */
   removeAttempt(attempt: Attempt): void;
 }
 
@@ -246,7 +253,7 @@
   }
 
   cacheImage(image: string, sizeGb: number): void {
-    // Deleted first, so that it becomes the most recently used one.
+    // The image is deleted first, so that it becomes the most recently used one.
     this.cachedImages.delete(image);
     this.cachedImages.set(image, sizeGb);
   }
@@ -256,7 +263,7 @@
   }
 
   addAttempt(attempt: Attempt): void {
-    this.attempts.set(keyOf(attempt), attempt);
+    this.attempts.set(getAttemptKey(attempt), attempt);
     addResources(this.allocated, attempt.resources, 1);
   }
 
@@ -265,15 +272,15 @@
   }
 
   removeAttempt(attempt: Attempt): void {
-    this.attempts.delete(keyOf(attempt));
+    this.attempts.delete(getAttemptKey(attempt));
   }
 }
 
-/** A new node, of which no heartbeat came in this term. It is not yet part of any table. */
+/** Creates a node that has sent no heartbeat in this term. It is not part of a cluster state yet. */
 export function createNode(description: NodeDescription, ordinal: number, nowMs: number): Node {
   return new TrackedNode(description, ordinal, nowMs);
 }
 
-function keyOf({ jobUid, index, number }: Attempt): string {
+function getAttemptKey({ jobUid, index, number }: Attempt): string {
   return attemptKey(jobUid, index, number);
 }
--- a/src/cluster/pending-commands.ts
+++ b/src/cluster/pending-commands.ts
@@ -1,5 +1,6 @@
 /**
- * Derives from the attempts on a node what its worker is to be commanded. Pure: nothing is marked as sent here.
+ * Derives the commands that a worker should get from the attempts on its node. The functions are pure and mark no
+ * command as sent.
  */
 import type { WorkerCommand } from './worker-messages.js';
 import { taskName, type Attempt } from './attempt.js';
@@ -11,18 +12,21 @@
   readonly attempt: Attempt;
 }
 
-/** Commands that the node's worker should be given now, for the attempts known longest first. */
+/** Yields the commands that the node's worker should get now. The attempts that have been known longest come first. */
 export function* pendingCommands(
   node: Node,
   mayStart: (attempt: Attempt) => boolean,
 ): Iterable<PendingCommand> {
   for (const attempt of node.attempts.values()) {
-    const command = commandFor(attempt, mayStart);
+    const command = findPendingCommand(attempt, mayStart);
     if (command) yield { command, attempt };
   }
 }
 
-/** Whether the worker has to be told to start or stop something; exited attempts can wait for its next heartbeat. */
+/**
+ * Whether the worker has to be told to start or stop an attempt. The acknowledgement of an exited attempt can wait
+ * for the next heartbeat.
+ */
 export function needsCommands(node: Node): boolean {
   for (const attempt of node.attempts.values()) {
     if (attempt.state === 'planned') return true;
@@ -31,13 +35,16 @@
   return false;
 }
 
-function commandFor(attempt: Attempt, mayStart: (attempt: Attempt) => boolean): WorkerCommand | undefined {
+function findPendingCommand(
+  attempt: Attempt,
+  mayStart: (attempt: Attempt) => boolean,
+): WorkerCommand | undefined {
   const { state, stopRequest, number } = attempt;
   const task = taskName(attempt);
   if (state === 'exited')
     return mayBeAcknowledged(attempt) ? { kind: 'acknowledge', task, attempt: number } : undefined;
   if (stopRequest) {
-    // What was certainly never sent needs no stop.
+    // An attempt whose start command was certainly never sent needs no stop command.
     if (state === 'planned' && attempt.directStart === 'none') return undefined;
     return { kind: 'stop', task, attempt: number, gracePeriodS: stopRequest.gracePeriodS };
   }
@@ -46,9 +53,9 @@
 
 /** Whether the worker may forget an exited attempt. */
 function mayBeAcknowledged({ directStart, exitCause, index, job }: Attempt): boolean {
-  // A start command that is still on its way must find the attempt, or it would be executed again.
+  // A start command that is still in transit has to find the attempt on the worker, or it would be executed again.
   if (directStart !== 'none') return false;
   if (exitCause !== 'completed' || !job?.isOpen) return true;
-  // Until the completion is stored, the worker's list is what a new leader learns it from.
+  // Until the completion is stored, a new leader can learn of it only from the worker's list.
   return job.persistence.isCompletionPersisted(index);
 }
--- a/src/cluster/resources.ts
+++ b/src/cluster/resources.ts
@@ -1,8 +1,9 @@
+/** Amounts of the resources that tasks need and nodes offer, and arithmetic with them. */
+
 /**
- * Amounts of the resources that tasks need and nodes offer, and their arithmetic.
+ * Amounts of the resources that a node has or a task needs. They are decimals, so they have to be compared with the
+ * tolerance `EPSILON`.
  */
-
-/** Amounts of what a node has or a task needs. They are decimals: compare them with the tolerance `EPSILON`. */
 export interface Resources {
   /** Processor cores. */
   readonly cpus: number;
@@ -12,20 +13,23 @@
   readonly memGb: number;
 }
 
-/** A running total of resources, owned by whoever adds to it. */
+/** A running total of resources. Only its owner changes it. */
 export type MutableResources = { -readonly [Name in keyof Resources]: Resources[Name] };
 
-/** No resources at all; also what an attempt of an unknown job is counted as. */
+/** No resources at all. An attempt of an unknown job is counted with this amount. */
 export const NO_RESOURCES: Resources = { cpus: 0, accelerators: 0, memGb: 0 };
 
-/** Adds (1) an amount to a total, or subtracts it (-1), in place: the scheduler does this for each start. */
+/**
+ * Adds an amount to a total in place if `sign` is 1, or subtracts it if `sign` is -1. It allocates no object, because
+ * the scheduler calls it for each start.
+ */
 export function addResources(total: MutableResources, amount: Resources, sign: 1 | -1): void {
   total.cpus += sign * amount.cpus;
   total.accelerators += sign * amount.accelerators;
   total.memGb += sign * amount.memGb;
 }
 
-/** What remains of `total` when `amount` is taken from it. */
+/** Returns what remains of `total` after `amount` is subtracted from it. */
 export function subtractResources(total: Resources, amount: Resources): MutableResources {
   return {
     cpus: total.cpus - amount.cpus,
--- a/src/cluster/worker-messages.ts
+++ b/src/cluster/worker-messages.ts
@@ -1,15 +1,19 @@
 /**
- * What workers and the leader exchange, in the terms of the code: heartbeats with the status of tasks one way, commands
- * the other. `src/workers/codec.ts` translates them to and from the wire.
+ * The messages between workers and the leader. Workers send heartbeats with the status of their tasks, and the leader
+ * sends commands. `src/workers/codec.ts` translates these messages to and from their names on the wire.
  */
 import type { WireInt } from '../wire/json.js';
 
-/** Life cycle of a task on its node: waiting for its image, running, saving a checkpoint before its exit, exited. */
+/**
+ * State of a task on its node. The task first waits for its image, then runs, then may save a checkpoint before its
+ * exit, and finally has exited.
+ */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
 
 /**
- * Why a task exited. `insufficientResources`, `conflictingAttempt` (the node holds another attempt of the task) and
- * `unknownTask` (no such job or task) are starts that the worker refused; `unknown` is a cause of a later protocol.
+ * Why a task exited. For `insufficientResources`, `conflictingAttempt` (the node holds another attempt of the task)
+ * and `unknownTask` (there is no such job or task) the worker refused the start. `unknown` stands for any cause that
+ * a later version of the protocol may add.
  */
 export type ExitCause =
   | 'completed'
@@ -20,41 +24,50 @@
   | 'unknownTask'
   | 'unknown';
 
-/** One attempt of a task as its worker describes it. */
+/** One attempt of a task as its worker reports it. */
 export interface TaskStatus {
   /** Uid of the job. */
   readonly job: string;
-  /** Index of the task within its job, from 0. */
+  /** Index of the task within its job, starting at 0. */
   readonly index: number;
   readonly attempt: WireInt;
   readonly state: TaskState;
-  /** Undefined unless the task has exited and its worker says why. */
+  /** Why the task exited. Undefined unless the task has exited and its worker reports the cause. */
   readonly cause?: ExitCause;
 }
 
-/** A worker's heartbeat: who it is, which messages it has seen, and all tasks on its node. */
+/**
+ * A worker's heartbeat. It identifies the worker, and tells which fencing token it has seen and which tasks are on
+ * its node.
+ */
 export interface Heartbeat {
   /** Name of the worker's node. */
   readonly node: string;
-  /** `host:port` at which the worker takes commands. */
+  /** `host:port` at which the worker accepts commands. */
   readonly address: string;
   /** Instance type of the node. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Grows each time the worker's lease expires, and all its tasks with it. */
+  /** Number that grows each time the worker's lease expires, which ends all its tasks. */
   readonly incarnation: WireInt;
-  /** Grows with each message of an incarnation; the larger (incarnation, sequence) is the newer message. */
+  /**
+   * Number that grows with each message of an incarnation. The message with the larger (incarnation, sequence) is the
+   * newer one.
+   */
   readonly sequence: WireInt;
   /** The highest fencing token that the worker has seen. */
   readonly fencingToken: WireInt;
-  /** Seconds until the cloud takes the node away; null: no interruption notice. */
+  /** Seconds until the cloud reclaims the node. Null if there is no interruption notice. */
   readonly interruptionNoticeS: number | null;
-  /** All tasks on the node, exited ones included until they are acknowledged. */
+  /** All tasks on the node, including exited tasks that were not acknowledged yet. */
   readonly tasks: readonly TaskStatus[];
 }
 
-/** An instruction to a worker about one attempt of a task. All may be repeated, but no start after an acknowledgement. */
+/**
+ * A command to a worker about one attempt of a task. Every command may be repeated, but no start command may follow
+ * an acknowledgement.
+ */
 export type WorkerCommand = StartCommand | StopCommand | AcknowledgeCommand;
 
 interface TaskCommand {
@@ -63,18 +76,24 @@
   readonly attempt: WireInt;
 }
 
-/** Start the attempt; no effect if the worker holds it already. */
+/** Starts the attempt. It has no effect if the worker already holds the attempt. */
 interface StartCommand extends TaskCommand {
   readonly kind: 'start';
 }
 
-/** Stop the attempt; its task may save a checkpoint if that takes no longer than the grace period, in seconds. */
+/**
+ * Stops the attempt. Its task may save a checkpoint if that takes no longer than the grace period, which is in
+ * seconds.
+ */
 interface StopCommand extends TaskCommand {
   readonly kind: 'stop';
   readonly gracePeriodS: number;
 }
 
-/** Forget an exited attempt: its end has been recorded, and heartbeats need not list it any longer. */
+/**
+ * Tells the worker to forget an exited attempt. Its end has been recorded, and heartbeats need not list it any
+ * longer.
+ */
 interface AcknowledgeCommand extends TaskCommand {
   readonly kind: 'acknowledge';
 }
--- a/src/leader/cloud-event-handler.ts
+++ b/src/leader/cloud-event-handler.ts
@@ -1,4 +1,4 @@
-/** What the leader does on each event of the cloud: catalog, launches, terminations and instance lists. */
+/** Handles the cloud events of the leader: catalogs, launches, terminations and instance lists. */
 import type { Logger } from 'pino';
 import { assertNever } from '@pumicehinge/runtime';
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
@@ -25,24 +25,29 @@
 
 type LaunchedEvent = Extract<CloudEvent, { kind: 'launched' }>;
 
-/** Applies events of the cloud, and the intents of earlier terms, to the cluster state and the autoscaler. */
+/**
+ * Applies cloud events, and the launches and terminations of earlier terms, to the cluster state and the autoscaler.
+ */
 export class CloudEventHandler {
-  constructor(private readonly deps: CloudEventHandlerDependencies) {}
+  constructor(private readonly dependencies: CloudEventHandlerDependencies) {}
 
-  /** Adopts the launches and terminations that earlier terms have committed; called once, before any decision. */
+  /**
+   * Adopts the launches and terminations that earlier terms committed. It is called once, before the leader decides
+   * anything.
+   */
   adoptInheritedIntents(): void {
-    const { provisioner, fleetReconciler, autoscaler } = this.deps;
-    const nowMs = this.deps.nowMs();
+    const { provisioner, fleetReconciler, autoscaler } = this.dependencies;
+    const nowMs = this.dependencies.nowMs();
     const { launching, launched, terminating, terminated } = provisioner.inheritedIntents();
     fleetReconciler.adoptTerminations(terminating, terminated, nowMs);
     for (const { names, offering } of launched) this.addLaunchedNodes(names, offering, nowMs);
     for (const launch of launching) autoscaler.adoptLaunch(launch);
   }
 
-  /** Applies one event. All but a new catalog request a scheduling cycle. */
+  /** Applies one event. Every event except a new catalog requests a scheduling cycle. */
   handle(event: CloudEvent): void {
-    const { autoscaler, fleetReconciler } = this.deps;
-    const nowMs = this.deps.nowMs();
+    const { autoscaler, fleetReconciler } = this.dependencies;
+    const nowMs = this.dependencies.nowMs();
     switch (event.kind) {
       case 'catalog':
         return this.updateCatalog(event);
@@ -51,7 +56,10 @@
         break;
       case 'launchFailed':
         autoscaler.handleLaunchFailed(event.request, event.reason, nowMs);
-        this.deps.log.info({ ...event.request.offering, reason: event.reason }, 'instance launch failed');
+        this.dependencies.log.info(
+          { ...event.request.offering, reason: event.reason },
+          'instance launch failed',
+        );
         break;
       case 'terminated':
         fleetReconciler.handleTerminated(event.names, nowMs);
@@ -63,28 +71,28 @@
       default:
         assertNever(event);
     }
-    this.deps.requestSchedulingCycle();
+    this.dependencies.requestSchedulingCycle();
   }
 
   private updateCatalog({ types }: Extract<CloudEvent, { kind: 'catalog' }>): void {
-    const { clusterState, instanceCatalog } = this.deps;
+    const { clusterState, instanceCatalog } = this.dependencies;
     instanceCatalog.update(types);
     for (const node of clusterState.nodes.values())
-      clusterState.setCapacity(node, instanceCatalog.capacityOf(node.type));
+      clusterState.setCapacity(node, instanceCatalog.getCapacity(node.type));
   }
 
   private handleLaunched({ request: launch, names }: LaunchedEvent, nowMs: number): void {
     const { offering } = launch;
-    this.deps.autoscaler.handleLaunched(launch, names.length, nowMs);
+    this.dependencies.autoscaler.handleLaunched(launch, names.length, nowMs);
     this.addLaunchedNodes(names, offering, nowMs);
-    this.deps.log.info({ ...offering, names }, 'nodes launched');
+    this.dependencies.log.info({ ...offering, names }, 'nodes launched');
   }
 
   private addLaunchedNodes(names: readonly string[], offering: InstanceOffering, nowMs: number): void {
-    const { clusterState, fleetReconciler, instanceCatalog, nodeRecords } = this.deps;
-    const capacity = instanceCatalog.capacityOf(offering.type);
+    const { clusterState, fleetReconciler, instanceCatalog, nodeRecords } = this.dependencies;
+    const capacity = instanceCatalog.getCapacity(offering.type);
     const newNames = names.filter(
-      (name) => !clusterState.nodes.has(name) && !fleetReconciler.wasDeleted(name),
+      (name) => !clusterState.nodes.has(name) && !fleetReconciler.wasRecentlyDeleted(name),
     );
     nodeRecords.addLaunched(
       newNames.map((name) => clusterState.addNode({ name, address: '', ...offering, capacity }, nowMs)),
--- a/src/leader/cluster-components.ts
+++ b/src/leader/cluster-components.ts
@@ -1,6 +1,6 @@
 /**
- * The components of a leader that hold its jobs and nodes: what the term knows of them, and how workers are commanded.
- * They are built in the order of their dependencies; where two need each other, one is reached through a closure.
+ * The components of a leader that manage its jobs and nodes and send commands to workers. They are built in the order
+ * of their dependencies. Where two components need each other, one of them is reached through a closure.
  */
 import { ClusterState, type Node, type Resources } from '../cluster/cluster-state.js';
 import { NodeHealth } from '../cluster/node-health.js';
@@ -16,58 +16,58 @@
 
 /** Options of `ClusterComponents`. */
 export interface ClusterComponentsOptions {
-  readonly deps: LeaderDependencies;
+  readonly dependencies: LeaderDependencies;
   readonly mailbox: LeaderMailbox;
-  /** Applies the heartbeat with which a worker answered commands. */
+  /** Applies the heartbeat that a worker sent in response to commands. */
   readonly handleCommandResponse: (node: Node, heartbeat: Heartbeat) => void;
 }
 
-/** The jobs and nodes of one term. */
+/** The components that manage the jobs and nodes of one term. */
 export class ClusterComponents {
-  /** Nodes, and what is allocated on them. */
+  /** The nodes, and the attempts that are allocated on them. */
   readonly clusterState: ClusterState;
-  /** Commits writes of this term. */
+  /** Commits writes to the state store as long as this term lasts. */
   readonly commit: CommitInTerm;
   /** The jobs of the term. */
   readonly jobStore: JobStore;
-  /** The instance types on offer. */
+  /** The instance types that the cloud offers. */
   readonly instanceCatalog: InstanceCatalog;
   /** Sends commands to workers. */
-  readonly commands: CommandDispatcher;
-  /** What earlier terms may have left running. */
+  readonly commandDispatcher: CommandDispatcher;
+  /** Tracks the nodes on which tasks of earlier terms may still run. */
   readonly reconciliation: TermReconciliation;
-  /** Liveness and fitness of nodes. */
+  /** Judges whether nodes are alive and can run tasks. */
   readonly nodeHealth: NodeHealth;
-  /** The stored records of nodes. */
+  /** Stores the nodes in the state store. */
   readonly nodeRecords: NodeRecords;
-  /** Steady ms at which the term began. */
+  /** Steady time in ms at which the term began. */
   readonly termStartMs: number;
 
   private readonly taskLifecycle: TaskLifecycle;
-  private readonly deps: LeaderDependencies;
+  private readonly dependencies: LeaderDependencies;
   private readonly mailbox: LeaderMailbox;
 
-  constructor({ deps, mailbox, handleCommandResponse }: ClusterComponentsOptions) {
-    this.deps = deps;
+  constructor({ dependencies, mailbox, handleCommandResponse }: ClusterComponentsOptions) {
+    this.dependencies = dependencies;
     this.mailbox = mailbox;
-    const { replica, log } = deps;
+    const { replica, log } = dependencies;
     this.termStartMs = this.nowMs();
     this.clusterState = this.createClusterState();
-    this.commit = createCommitInTerm(deps.term, deps.batcher);
+    this.commit = createCommitInTerm(dependencies.term, dependencies.batcher);
     this.jobStore = this.createJobStore();
     this.instanceCatalog = new InstanceCatalog({ replica, commit: this.commit, log });
-    this.commands = this.createCommandDispatcher(handleCommandResponse);
+    this.commandDispatcher = this.createCommandDispatcher(handleCommandResponse);
     this.reconciliation = this.createReconciliation();
     this.taskLifecycle = this.createTaskLifecycle();
     this.nodeHealth = this.createNodeHealth();
     this.nodeRecords = this.createNodeRecords();
   }
 
-  /** The present time in steady ms. */
-  readonly nowMs = (): number => this.deps.clock.steadyMs();
+  /** Returns the current steady time in ms. */
+  readonly nowMs = (): number => this.dependencies.clock.steadyMs();
 
-  /** Resources of a node of this instance type; zero for a type that is not known. */
-  readonly capacityOf = (type: string): Resources => this.instanceCatalog.capacityOf(type);
+  /** Returns the resources of a node of this instance type, or zero resources if the type is unknown. */
+  readonly getCapacity = (typeName: string): Resources => this.instanceCatalog.getCapacity(typeName);
 
   private createClusterState(): ClusterState {
     return new ClusterState({
@@ -77,7 +77,7 @@
   }
 
   private createJobStore(): JobStore {
-    const { settings, replica, clock, log } = this.deps;
+    const { settings, replica, clock, log } = this.dependencies;
     return new JobStore({
       replica,
       commit: this.commit,
@@ -85,17 +85,17 @@
       maxOperations: settings.state.txnOps,
       wallMs: () => clock.wallMs(),
       log,
-      writeCompleted: (result) => this.mailbox.send({ kind: 'jobWriteEnded', result }),
-      refresh: (key) => this.refreshKey(key),
-      jobCancelled: (job) => {
-        for (const attempt of job.allocations.values()) this.commands.stop(attempt, 0);
+      onWriteCompleted: (result) => this.mailbox.send({ kind: 'jobWriteEnded', result }),
+      requestRefresh: (key) => this.refreshKey(key),
+      onJobCancelled: (job) => {
+        for (const attempt of job.allocations.values()) this.commandDispatcher.stop(attempt, 0);
       },
     });
   }
 
-  /** Applies the key again once the replica has caught up with the state store. */
+  /** Applies the value of the key again once the replica has caught up with the state store. */
   private refreshKey(key: string): void {
-    const { replica } = this.deps;
+    const { replica } = this.dependencies;
     replica.linearizableRead().then(
       () => {
         const change = replica.get(key);
@@ -108,7 +108,7 @@
   private createCommandDispatcher(
     handleCommandResponse: ClusterComponentsOptions['handleCommandResponse'],
   ): CommandDispatcher {
-    const { term, workerHttpClient, log } = this.deps;
+    const { term, workerHttpClient, log } = this.dependencies;
     return new CommandDispatcher({
       term,
       clusterState: this.clusterState,
@@ -124,24 +124,25 @@
   }
 
   private createReconciliation(): TermReconciliation {
-    const { settings, term, replica, log } = this.deps;
+    const { settings, term, replica, log } = this.dependencies;
     return new TermReconciliation({
-      term: term.fencingToken,
+      fencingToken: term.fencingToken,
       leaseS: settings.leaseS,
       clusterState: this.clusterState,
       replica,
       commit: this.commit,
       nowMs: this.nowMs,
       log,
-      leaseCheckCompleted: (result) => this.mailbox.send({ kind: 'leaseCheckEnded', result }),
+      onLeaseCheckCompleted: (result) => this.mailbox.send({ kind: 'leaseCheckEnded', result }),
       requestSchedulingCycle: this.mailbox.requestSchedulingCycle,
     });
   }
 
   private createTaskLifecycle(): TaskLifecycle {
-    const { settings, jobDependencies, cancellationWatermark, isStateStoreAvailable, log } = this.deps;
+    const { settings, jobDependencies, cancellationWatermark, isStateStoreAvailable, log } =
+      this.dependencies;
     return new TaskLifecycle({
-      workerCommands: this.commands,
+      commandDispatcher: this.commandDispatcher,
       reconciliation: this.reconciliation,
       jobDependencies,
       cancellationWatermark,
@@ -157,24 +158,24 @@
   private createNodeHealth(): NodeHealth {
     return new NodeHealth({
       clusterState: this.clusterState,
-      heartbeatIntervalS: this.deps.settings.reportS,
-      termStartedMs: this.termStartMs,
-      instanceTypeOf: (name) => this.instanceCatalog.types.get(name),
+      heartbeatIntervalS: this.dependencies.settings.reportS,
+      termStartMs: this.termStartMs,
+      findInstanceType: (typeName) => this.instanceCatalog.types.get(typeName),
       findJob: (uid) => this.jobStore.jobs.get(uid),
       isLeaseDelegated: (node) => this.reconciliation.isLeaseDelegated(node),
-      isZoneUnreachable: this.deps.isZoneUnreachable,
+      isZoneUnreachable: this.dependencies.isZoneUnreachable,
     });
   }
 
   private createNodeRecords(): NodeRecords {
-    const { settings, term, replica } = this.deps;
+    const { settings, term, replica } = this.dependencies;
     return new NodeRecords({
       replica,
-      term: term.fencingToken,
+      termNumber: term.fencingToken,
       maxValueBytes: settings.state.valueBytes,
       maxOperations: settings.state.txnOps,
-      write: this.commit,
-      writeEnded: (result) => this.mailbox.send({ kind: 'nodeGroupWriteEnded', result }),
+      commit: this.commit,
+      onWriteEnded: (result) => this.mailbox.send({ kind: 'nodeGroupWriteEnded', result }),
     });
   }
 }
--- a/src/leader/fleet-reconciler.ts
+++ b/src/leader/fleet-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Reconciles the leader's nodes with the cloud's instances: adopts what the cloud lists, drains nodes that are about to
- * end, and terminates nodes that are of no use.
+ * Reconciles the leader's nodes with the cloud's instances. It adopts the instances that the cloud lists, drains
+ * nodes that the cloud is about to interrupt, and terminates nodes that are no longer useful.
  */
 import type { Logger } from 'pino';
 import type { TerminationRole } from '@pumicehinge/duties';
@@ -34,12 +34,12 @@
   readonly nodeHealth: NodeHealth;
   readonly reconciliation: Pick<TermReconciliation, 'confirmLeaseExpiry' | 'markReconciled'>;
   readonly nodeRecords: Pick<NodeRecords, 'remove'>;
-  readonly workerCommands: Pick<CommandDispatcher, 'stop'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'stop'>;
   readonly provisioner: Pick<Provisioner, 'terminate'>;
   readonly autoscaler: Pick<Autoscaler, 'isHeadroom'>;
-  readonly spotInterruptions: SpotInterruptionRate;
-  /** Resources of a node of this instance type. */
-  readonly capacityOf: (type: string) => Resources;
+  readonly spotInterruptionRate: SpotInterruptionRate;
+  /** Returns the resources of a node of this instance type. */
+  readonly getCapacity: (typeName: string) => Resources;
   readonly nowMs: () => number;
   readonly log: Logger;
 }
@@ -56,101 +56,114 @@
   | 'unreachable'
   | 'responses not received';
 
-/** A healthy node that is not needed is returned; all others are reclaimed with whatever runs on them. */
-const terminationRoleFor = (reason: TerminationReason): TerminationRole =>
+/**
+ * Selects the role that terminates a node. A node that is idle, or that was emptied before an interruption, is
+ * returned. All other nodes are reclaimed together with the tasks on them.
+ */
+const selectTerminationRole = (reason: TerminationReason): TerminationRole =>
   reason === 'idle' || reason === 'interrupted' ? 'return' : 'reclaim';
 
-/** Keeps the nodes of the cluster state and the instances at the cloud in agreement. */
+/** Keeps the nodes of the cluster state consistent with the instances of the cloud. */
 export class FleetReconciler {
-  /** Steady ms at which each node was deleted, by name; only of the recent ones. */
-  private readonly deletedMs = new Map<string, number>();
+  /** Steady time in ms at which each recently deleted node was deleted, by node name. */
+  private readonly deletionTimesMs = new Map<string, number>();
 
-  constructor(private readonly deps: FleetReconcilerDependencies) {}
+  constructor(private readonly dependencies: FleetReconcilerDependencies) {}
 
-  /** Whether the node was deleted recently: its late heartbeats and stale list entries are to be ignored. */
-  wasDeleted(name: string): boolean {
-    return this.deletedMs.has(name);
+  /** Whether the node was deleted recently, so that its late heartbeats and stale list entries have to be ignored. */
+  wasRecentlyDeleted(name: string): boolean {
+    return this.deletionTimesMs.has(name);
   }
 
-  /** The cloud has deleted these nodes, and all that ran on them. */
+  /** Removes nodes that the cloud has deleted together with everything that ran on them. */
   handleTerminated(names: string[], nowMs: number): void {
-    this.deps.log.info({ names }, 'nodes terminated');
+    this.dependencies.log.info({ names }, 'nodes terminated');
     for (const name of names) {
-      const node = this.deps.clusterState.nodes.get(name);
+      const node = this.dependencies.clusterState.nodes.get(name);
       if (node) this.removeNode(node);
-      this.deletedMs.set(name, nowMs);
+      this.deletionTimesMs.set(name, nowMs);
     }
   }
 
-  /** Adopts the terminations that earlier terms have committed, and those that are done. */
+  /** Adopts the terminations that earlier terms committed, both those in progress and those already completed. */
   adoptTerminations(terminatingNames: string[], terminatedNames: string[], nowMs: number): void {
-    for (const name of terminatingNames) this.deps.clusterState.inheritTermination(name);
+    for (const name of terminatingNames) this.dependencies.clusterState.inheritTermination(name);
     if (terminatedNames.length > 0) this.handleTerminated(terminatedNames, nowMs);
   }
 
   private removeNode(node: Node): void {
-    this.deps.clusterState.removeNode(node);
-    this.deps.reconciliation.markReconciled(node);
-    this.deps.nodeRecords.remove(node);
+    this.dependencies.clusterState.removeNode(node);
+    this.dependencies.reconciliation.markReconciled(node);
+    this.dependencies.nodeRecords.remove(node);
   }
 
-  /** Merges the cloud's list of instances, which lags behind, into the cluster state. */
+  /** Merges the cloud's list of instances, which may be out of date, into the cluster state. */
   reconcileListing({ instances, requestedMs }: InstanceList, nowMs: number): void {
-    const { clusterState, nodeHealth, settings } = this.deps;
-    // Kept far beyond the lag of the list: copies of their heartbeats may arrive late.
-    for (const [name, deletedMs] of this.deletedMs)
-      if (nowMs - deletedMs > DELETED_NODE_RETENTION_MS) this.deletedMs.delete(name);
+    const { clusterState, nodeHealth, settings } = this.dependencies;
+    // Deleted nodes are remembered for much longer than the list lags, because copies of their heartbeats may arrive
+    // late.
+    for (const [name, deletionTimeMs] of this.deletionTimesMs)
+      if (nowMs - deletionTimeMs > DELETED_NODE_RETENTION_MS) this.deletionTimesMs.delete(name);
     for (const instance of instances) {
-      // The list lags: it still holds instances that were deleted a moment ago.
-      if (!this.wasDeleted(instance.name)) this.mergeInstance(instance, requestedMs, nowMs);
+      // The list lags, so it may still contain instances that were deleted a moment ago.
+      if (!this.wasRecentlyDeleted(instance.name)) this.mergeInstance(instance, requestedMs, nowMs);
     }
-    const lagMs = settings.cloud.listLagS * 2000 + INSTANCE_LIST_MARGIN_MS;
-    // That a node is not listed proves nothing about its tasks; deleting it does, and costs nothing.
+    const maxListLagMs = settings.cloud.listLagS * 2000 + INSTANCE_LIST_MARGIN_MS;
+    // A missing list entry does not prove that the tasks of the node have ended. Deleting the node proves it and
+    // costs nothing.
     for (const node of clusterState.nodes.values()) {
-      const isMissing = requestedMs - Math.max(node.lastListedMs, node.launchedMs) > lagMs;
+      const isMissing = requestedMs - Math.max(node.lastListedMs, node.launchedMs) > maxListLagMs;
       if (isMissing && nodeHealth.isUnreachable(node, nowMs)) this.terminateNode(node, 'not listed');
     }
   }
 
   private mergeInstance(instance: CloudInstance, requestedMs: number, nowMs: number): void {
-    const node = this.deps.clusterState.nodes.get(instance.name) ?? this.addUnknown(instance, nowMs);
+    const node =
+      this.dependencies.clusterState.nodes.get(instance.name) ?? this.addUnknownNode(instance, nowMs);
     node.recordListing({ requestedMs, launchedMs: nowMs - instance.ageS * 1000 });
     if (instance.phase === 'failed') this.terminateNode(node, 'failed');
   }
 
-  private addUnknown(instance: CloudInstance, nowMs: number): Node {
+  private addUnknownNode(instance: CloudInstance, nowMs: number): Node {
     const { name, address, type, zone, spot } = instance;
-    this.deps.log.info({ node: name }, 'unknown node adopted');
-    const capacity = this.deps.capacityOf(type);
-    return this.deps.clusterState.addNode({ name, address, type, zone, spot, capacity }, nowMs);
+    this.dependencies.log.info({ node: name }, 'unknown instance added as a node');
+    const capacity = this.dependencies.getCapacity(type);
+    return this.dependencies.clusterState.addNode({ name, address, type, zone, spot, capacity }, nowMs);
   }
 
   private terminateNode(node: Node, reason: TerminationReason): void {
-    if (node.terminating || !this.deps.term.authority.isValid(this.deps.nowMs())) return;
+    if (node.terminating || !this.dependencies.term.authority.isValid(this.dependencies.nowMs())) return;
     node.markTerminating();
-    this.deps.log.info({ node: node.name, reason }, 'node termination requested');
+    this.dependencies.log.info({ node: node.name, reason }, 'node termination requested');
     if (node.spot && reason !== 'idle' && node.lastHeartbeatMs > -Infinity)
-      this.deps.spotInterruptions.recordInterruption(this.deps.nowMs());
-    this.deps.provisioner.terminate(terminationRoleFor(reason), [node.name]);
+      this.dependencies.spotInterruptionRate.recordInterruption(this.dependencies.nowMs());
+    this.dependencies.provisioner.terminate(selectTerminationRole(reason), [node.name]);
   }
 
-  /** Confirms the expiry of leases, and withdraws tasks from nodes that can't be used any more. */
+  /**
+   * Confirms expired leases, withdraws planned starts from nodes that are not schedulable, and drains those nodes if
+   * necessary.
+   */
   reviewNodes(nowMs: number): void {
-    const { clusterState, nodeHealth, reconciliation } = this.deps;
+    const { clusterState, nodeHealth, reconciliation } = this.dependencies;
     for (const node of clusterState.nodes.values()) {
       reconciliation.confirmLeaseExpiry(node, nowMs);
       if (nodeHealth.isSchedulable(node, nowMs)) continue;
       for (const attempt of [...node.attempts.values()])
         if (attempt.state === 'planned' && attempt.directStart === 'none')
           clusterState.withdrawPlanned(attempt);
-      this.drain(node, nowMs);
+      this.drainNode(node, nowMs);
     }
   }
 
-  /** Stops the tasks of a node that the cloud will interrupt, and terminates it or a quarantined one once empty. */
-  private drain(node: Node, nowMs: number): void {
+  /**
+   * Stops the tasks of a node that the cloud will interrupt. Such a node, or a quarantined node, is terminated once
+   * it is empty.
+   */
+  private drainNode(node: Node, nowMs: number): void {
     const isEmpty = node.attempts.size === 0;
-    if (isEmpty && this.deps.nodeHealth.isQuarantined(node)) return this.terminateNode(node, 'quarantined');
+    if (isEmpty && this.dependencies.nodeHealth.isQuarantined(node))
+      return this.terminateNode(node, 'quarantined');
     const remainingS = (node.interruptionMs - nowMs) / 1000;
     if (remainingS === Infinity) return;
     if (isEmpty) return this.terminateNode(node, 'interrupted');
@@ -158,11 +171,15 @@
       const { job } = attempt;
       if (!job || attempt.state === 'exited') continue;
       if (this.mustStopBeforeInterruption(job, attempt, { remainingS, nowMs }))
-        this.deps.workerCommands.stop(attempt, DRAIN_GRACE_PERIOD_S);
+        this.dependencies.commandDispatcher.stop(attempt, DRAIN_GRACE_PERIOD_S);
     }
   }
 
-  /** Replicas move at once; a task with checkpoints saves its last one; one that can't complete restarts elsewhere. */
+  /**
+   * Whether a task has to stop now because the cloud will interrupt its node. A replica of a service stops at once,
+   * so that it restarts elsewhere. A task with checkpoints runs on as long as there is still time to save its last
+   * one. A task without checkpoints stops if it cannot complete before the interruption.
+   */
   private mustStopBeforeInterruption(
     job: Job,
     attempt: Attempt,
@@ -171,38 +188,38 @@
     if (job.isService) return true;
     const { checkpointIntervalS, checkpointS } = job.spec;
     if (checkpointIntervalS > 0)
-      return remainingS < checkpointS + this.deps.settings.reportS + CHECKPOINT_MARGIN_S;
-    // Its work would be lost anyway: the sooner it restarts, the better.
+      return remainingS < checkpointS + this.dependencies.settings.reportS + CHECKPOINT_MARGIN_S;
+    // The work of this task would be lost anyway, so it restarts elsewhere as early as possible.
     return checkpointIntervalS === 0 && remainingRunS(attempt, nowMs) > remainingS;
   }
 
   /** Terminates nodes that are idle, unreachable or never finished booting. */
-  terminateUnneeded(nowMs: number): void {
-    for (const node of this.deps.clusterState.nodes.values()) {
+  terminateUnneededNodes(nowMs: number): void {
+    for (const node of this.dependencies.clusterState.nodes.values()) {
       if (node.terminating) continue;
-      const reason = this.terminationReasonOf(node, nowMs);
+      const reason = this.findTerminationReason(node, nowMs);
       if (reason) this.terminateNode(node, reason);
     }
   }
 
-  private terminationReasonOf(node: Node, nowMs: number): TerminationReason | undefined {
-    const { nodeHealth } = this.deps;
+  private findTerminationReason(node: Node, nowMs: number): TerminationReason | undefined {
+    const { nodeHealth } = this.dependencies;
     if (nodeHealth.isBooting(node)) return nodeHealth.isBootOverdue(node, nowMs) ? 'boot overdue' : undefined;
     const isUnreachable = nodeHealth.isUnreachable(node, nowMs);
     if (nodeHealth.isZoneUnreachable(node.zone)) {
-      // In a partitioned zone, nodes go on and turn to the controllers there.
+      // Nodes in a partitioned zone keep running and switch to the controllers in that zone.
       if (nowMs < node.leaseExpiryMs) return undefined;
     } else if (isUnreachable && nodeHealth.isZoneRecovering(node.zone, nowMs)) return undefined;
     if (isUnreachable && !nodeHealth.isMassOutage())
       return node.unacknowledgedResponses >= MAX_UNACKNOWLEDGED_RESPONSES
         ? 'responses not received'
         : 'unreachable';
-    return nodeHealth.isSchedulable(node, nowMs) && this.isIdle(node, nowMs) ? 'idle' : undefined;
+    return nodeHealth.isSchedulable(node, nowMs) && this.isIdleLongEnough(node, nowMs) ? 'idle' : undefined;
   }
 
-  private isIdle(node: Node, nowMs: number): boolean {
-    if (node.attempts.size > 0 || this.deps.autoscaler.isHeadroom(node)) return false;
-    const keepMs = this.deps.settings.operator.idleKeepS * 1000;
-    return nowMs - node.idleSinceMs > keepMs && nowMs - node.launchedMs > MIN_BILLED_MS;
+  private isIdleLongEnough(node: Node, nowMs: number): boolean {
+    if (node.attempts.size > 0 || this.dependencies.autoscaler.isHeadroom(node)) return false;
+    const idleKeepMs = this.dependencies.settings.operator.idleKeepS * 1000;
+    return nowMs - node.idleSinceMs > idleKeepMs && nowMs - node.launchedMs > MIN_BILLED_MS;
   }
 }
--- a/src/leader/instance-catalog.ts
+++ b/src/leader/instance-catalog.ts
@@ -14,12 +14,15 @@
   readonly log: Logger;
 }
 
-/** The instance types that the cloud offers: read from the state store when a term begins, then kept up to date. */
+/**
+ * Holds the instance types that the cloud offers. They are read from the state store when a term begins, and updated
+ * whenever the cloud returns its catalog.
+ */
 export class InstanceCatalog {
   private typesByName: ReadonlyMap<string, InstanceType>;
 
-  constructor(private readonly deps: InstanceCatalogDependencies) {
-    this.typesByName = indexByName(decodeInstanceTypes(deps.replica.get(CATALOG_KEY)?.value));
+  constructor(private readonly dependencies: InstanceCatalogDependencies) {
+    this.typesByName = indexByName(decodeInstanceTypes(dependencies.replica.get(CATALOG_KEY)?.value));
   }
 
   /** All instance types, by name. */
@@ -27,34 +30,34 @@
     return this.typesByName;
   }
 
-  /** Resources of a node of this type; zero for a type that is not known. */
-  capacityOf(typeName: string): Resources {
+  /** Returns the resources of a node of this type, or zero resources if the type is unknown. */
+  getCapacity(typeName: string): Resources {
     const type = this.typesByName.get(typeName);
     return { cpus: type?.cpus ?? 0, accelerators: type?.accelerators ?? 0, memGb: type?.memGb ?? 0 };
   }
 
-  /** Replaces the types by the cloud's answer, and stores them if more than spot prices changed. */
+  /** Replaces the types with those that the cloud returned, and stores them unless only spot prices changed. */
   update(types: InstanceType[]): void {
     const previousTypes = [...this.typesByName.values()];
     this.typesByName = indexByName(types);
-    if (types.length > 0 && previousTypes.length === 0) this.logTypes(types);
-    const stored = this.deps.replica.get(CATALOG_KEY);
-    // Spot prices change all the time; the other controllers only need to know which types exist.
-    if (stored && withoutSpotPrices(types) === withoutSpotPrices(previousTypes)) return;
-    void this.deps.commit(
+    if (types.length > 0 && previousTypes.length === 0) this.logInstanceTypes(types);
+    const stored = this.dependencies.replica.get(CATALOG_KEY);
+    // Spot prices change all the time, and the other controllers only need to know which types exist.
+    if (stored && serializeWithoutSpotPrices(types) === serializeWithoutSpotPrices(previousTypes)) return;
+    void this.dependencies.commit(
       [{ key: CATALOG_KEY, modRevision: stored?.modRevision ?? 0 }],
       [{ key: CATALOG_KEY, value: types }],
     );
   }
 
-  private logTypes(types: InstanceType[]): void {
-    const described = types.map((type) => `${type.name}: ${type.zones.join(' ')}`);
-    this.deps.log.info({ types: described }, 'instance catalog loaded');
+  private logInstanceTypes(types: InstanceType[]): void {
+    const typeDescriptions = types.map((type) => `${type.name}: ${type.zones.join(' ')}`);
+    this.dependencies.log.info({ types: typeDescriptions }, 'instance catalog loaded');
   }
 }
 
 const indexByName = (types: InstanceType[]): ReadonlyMap<string, InstanceType> =>
   new Map(types.map((type) => [type.name, type]));
 
-const withoutSpotPrices = (types: InstanceType[]): string =>
+const serializeWithoutSpotPrices = (types: InstanceType[]): string =>
   formatJson(types.map((type) => ({ ...type, spotPrice: 0 })));
--- a/src/leader/job-store.ts
+++ b/src/leader/job-store.ts
@@ -1,4 +1,4 @@
-/** The jobs of a leader's term: read from the state store, updated by its changes, and written back. */
+/** The jobs of a leader's term. They are read from the state store, updated when it changes, and written back to it. */
 import type { Logger } from 'pino';
 import { COMPLETION_SEGMENTS_PER_WRITE, MALFORMED_VALUE_RETRY_MS } from '../constants.js';
 import type { Job } from '../cluster/cluster-state.js';
@@ -28,106 +28,134 @@
   readonly replica: StateReplica;
   readonly commit: CommitInTerm;
   readonly objectives: DeadlineObjective[];
-  /** Most operations in one transaction. */
+  /** Maximum number of operations in one transaction. */
   readonly maxOperations: number;
   readonly wallMs: () => number;
   readonly log: Logger;
-  /** A write of a job has ended; the result comes back through the leader's mailbox into `handleWriteResult`. */
-  readonly writeCompleted: (result: JobWriteResult) => void;
-  /** Requests that the stored value of a job is read again and applied. */
-  readonly refresh: (key: string) => void;
-  /** A job was cancelled: its tasks are to be stopped. */
-  readonly jobCancelled: (job: Job) => void;
+  /**
+   * Called when a write of a job has ended. The result comes back through the leader's mailbox to
+   * `handleWriteResult`.
+   */
+  readonly onWriteCompleted: (result: JobWriteResult) => void;
+  /** Requests that the stored value of a job is read and applied again. */
+  readonly requestRefresh: (key: string) => void;
+  /** Called when a job was cancelled, so that its tasks are stopped. */
+  readonly onJobCancelled: (job: Job) => void;
 }
 
-/** The end of one write of a job. */
+/** The result of one write of a job. */
 export interface JobWriteResult {
   readonly job: Job;
   readonly result: CommitResult;
-  /** The value and the segments that were written, or were to be. */
+  /** The value and the completion segments that the write contained. */
   readonly write: JobWrite;
 }
 
-/** Holds the jobs of the leader's term and keeps their values in the state store. */
+/** Holds the jobs of the leader's term and stores their values in the state store. */
 export class JobStore {
   /** The jobs of the term, by uid. */
   readonly jobs = new Map<string, Job>();
-  private readonly runTimes = new RunTimeEstimator();
+  private readonly runTimeEstimator = new RunTimeEstimator();
 
-  constructor(private readonly deps: JobStoreDependencies) {
-    for (const stored of deps.replica.listPrefix(JOBS_PREFIX)) this.applyChange(stored);
-    // The jobs come in any order: only now is each job present that another one depends on.
+  constructor(private readonly dependencies: JobStoreDependencies) {
+    for (const stored of dependencies.replica.listPrefix(JOBS_PREFIX)) this.applyChange(stored);
+    // The jobs are listed in any order, so only now is every job present that another job depends on.
     for (const job of this.jobs.values()) propagatePriority(job, (uid) => this.jobs.get(uid));
   }
 
-  /** Number of running tasks by job uid, for display; jobs without running tasks are left out. */
-  runningTaskCounts(): Record<string, number> {
-    const counts: Record<string, number> = {};
+  /** Counts the running tasks of each job for display, by job uid. Jobs without running tasks are left out. */
+  countRunningTasks(): Record<string, number> {
+    const countsByJob: Record<string, number> = {};
     for (const job of this.jobs.values()) {
       if (!job.isOpen) continue;
-      let running = 0;
+      let runningCount = 0;
       for (const attempt of job.allocations.values())
-        if (attempt.state === 'running' || attempt.state === 'saving') running++;
-      if (running > 0) counts[job.uid] = running;
+        if (attempt.state === 'running' || attempt.state === 'saving') runningCount++;
+      if (runningCount > 0) countsByJob[job.uid] = runningCount;
     }
-    return counts;
+    return countsByJob;
   }
 
-  /** Applies a stored value of a job: adds a job that is new, and merges what is newer of one that is known. */
+  /** Applies a stored value of a job. An unknown job is added, and a newer value of a known job is merged into it. */
   applyChange({ key, value, modRevision }: KeyChange): void {
     const uid = jobUidOfKey(key);
     const record = decodeJob(value);
     if (!record) return;
     const job = this.jobs.get(uid);
     if (!job) return this.addJob(uid, record, modRevision);
-    this.mergeSegments(job);
-    const isNewer = job.persistence.applyRecord(record, modRevision);
-    if (isNewer && record.phase === 'cancelled') this.cancel(job);
+    this.mergeCompletionSegments(job);
+    const isNewerRecord = job.persistence.applyRecord(record, modRevision);
+    if (isNewerRecord && record.phase === 'cancelled') this.cancel(job);
   }
 
   private addJob(uid: string, record: JobRecord, modRevision: KeyChange['modRevision']): void {
-    // A cancelled job that still has its description is added: tasks of it may be left on nodes.
+    // A cancelled job that still has its description is added, because tasks of it may still run on nodes.
     const { spec } = record;
     if (!spec || record.phase === 'done') return;
-    const { objectives } = this.deps;
-    const { runTimes } = this;
-    const dependencies = readDependencies(spec, (key) => this.deps.replica.get(key)?.value) ?? [];
-    const job: Job = new PipelineJob({ uid, record, spec, modRevision, objectives, runTimes, dependencies });
-    this.mergeSegments(job);
+    const { objectives } = this.dependencies;
+    const { runTimeEstimator } = this;
+    const dependencyUids = readDependencies(spec, (key) => this.dependencies.replica.get(key)?.value) ?? [];
+    const job: Job = new PipelineJob({
+      uid,
+      record,
+      spec,
+      modRevision,
+      objectives,
+      runTimes: runTimeEstimator,
+      dependencies: dependencyUids,
+    });
+    this.mergeCompletionSegments(job);
     this.jobs.set(uid, job);
-    propagatePriority(job, (name) => this.jobs.get(name));
+    propagatePriority(job, (dependencyUid) => this.jobs.get(dependencyUid));
   }
 
-  /** Cancels the job and stops its tasks: by its user's request, or because a dependency was cancelled. */
+  /**
+   * Cancels the job and stops its tasks, either because its user requested it or because a dependency was cancelled.
+   */
   cancel(job: Job): void {
     if (!job.cancel()) return;
-    this.deps.log.info({ job: job.uid }, 'job cancelled');
-    this.deps.jobCancelled(job);
+    this.dependencies.log.info({ job: job.uid }, 'job cancelled');
+    this.dependencies.onJobCancelled(job);
   }
 
-  /** Wall ms at which the last dependency of the job was done, by the stored values; at the earliest its acceptance. */
-  dependenciesFinishedMs(job: Job): number {
-    const finishedMs = job.dependencies.map(
-      (uid) => decodeJob(this.deps.replica.get(jobKey(uid))?.value)?.finishedMs ?? 0,
+  /**
+   * Returns the wall time in ms at which the last dependency of the job finished according to the stored values, or
+   * the time at which the job was accepted if that is later.
+   */
+  findDependenciesFinishedMs(job: Job): number {
+    const finishTimesMs = job.dependencies.map(
+      (uid) => decodeJob(this.dependencies.replica.get(jobKey(uid))?.value)?.finishedMs ?? 0,
     );
-    return finishedMs.reduce((last, endMs) => Math.max(last, endMs), job.acceptedMs);
+    return finishTimesMs.reduce((latestMs, finishTimeMs) => Math.max(latestMs, finishTimeMs), job.acceptedMs);
   }
 
-  /** Merges newer segments: a write without an answer may have been applied late, under revisions not yet known. */
-  private mergeSegments(job: Job): void {
+  /**
+   * Merges newer completion segments. A write without a response may have been applied late, so that the revisions of
+   * its segments are not known yet.
+   */
+  private mergeCompletionSegments(job: Job): void {
     for (let segment = 1; segment < completionSegmentCount(job.spec.tasks); segment++) {
-      const stored = this.deps.replica.get(completionSegmentKey(job.uid, segment));
+      const stored = this.dependencies.replica.get(completionSegmentKey(job.uid, segment));
       if (stored) job.persistence.applySegment(segment, stored.value, stored.modRevision);
     }
   }
 
-  /** Writes what changed of a job. Does nothing while a write of it is in progress, or has to wait. */
+  /**
+   * Writes the changes of a job. Nothing happens while another write of the job is in progress or writes are
+   * postponed.
+   */
   persist(job: Job): void {
     const { persistence } = job;
-    if (persistence.writeInProgress || !job.needsWrite || this.deps.wallMs() < persistence.writeNotBeforeMs)
+    if (
+      persistence.writeInProgress ||
+      !job.needsWrite ||
+      this.dependencies.wallMs() < persistence.writeNotBeforeMs
+    )
       return;
-    // Few segments at a time, so that a write fits the limits of the state store.
-    const write = job.beginWrite(Math.min(COMPLETION_SEGMENTS_PER_WRITE, this.deps.maxOperations - 1));
+    // Only a few segments are written at a time, so that a write stays within the limits of the state store.
+    const write = job.beginWrite(
+      Math.min(COMPLETION_SEGMENTS_PER_WRITE, this.dependencies.maxOperations - 1),
+    );
     const conditions: Condition[] = [{ key: jobKey(job.uid), modRevision: write.modRevision }];
     const operations: Operation[] = [{ key: jobKey(job.uid), value: encodeJob(write.record) }];
     for (const { segment, text, modRevision } of write.segments) {
@@ -135,12 +163,12 @@
       conditions.push({ key, modRevision });
       operations.push({ key, value: text });
     }
-    void this.deps
+    void this.dependencies
       .commit(conditions, operations)
-      .then((result) => this.deps.writeCompleted({ job, result, write }));
+      .then((result) => this.dependencies.onWriteCompleted({ job, result, write }));
   }
 
-  /** Applies the result of a write; after a failed one the stored value is read again. */
+  /** Applies the result of a write. After a failed write the stored value is read again. */
   handleWriteResult({ job, result, write }: JobWriteResult): void {
     if (result.outcome === 'applied') {
       job.persistence.completeWrite(write, result.revision);
@@ -148,17 +176,17 @@
       return;
     }
     job.persistence.abortWrite(write);
-    // A value that the state store rejects as malformed stays malformed: it is not sent again at once.
+    // A value that the state store rejects as malformed would be rejected again, so it is not resent at once.
     if (result.outcome === 'refused' && result.malformed) {
-      job.persistence.postponeWrites(this.deps.wallMs() + MALFORMED_VALUE_RETRY_MS);
-      this.deps.log.error({ job: job.uid }, 'job write rejected as malformed');
+      job.persistence.postponeWrites(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_MS);
+      this.dependencies.log.error({ job: job.uid }, 'job write rejected as malformed');
     }
-    // Another controller wrote (a cancellation), or the outcome is unknown: the stored value decides.
-    this.deps.refresh(jobKey(job.uid));
+    // Another controller may have written a cancellation, or the outcome may be unknown. The stored value decides.
+    this.dependencies.requestRefresh(jobKey(job.uid));
   }
 
   private logCompleted(job: Job): void {
-    const tookS = Math.round((this.deps.wallMs() - job.acceptedMs) / 1000);
-    this.deps.log.info({ job: job.uid, tookS, deadlineS: job.spec.deadlineS }, 'job completed');
+    const tookS = Math.round((this.dependencies.wallMs() - job.acceptedMs) / 1000);
+    this.dependencies.log.info({ job: job.uid, tookS, deadlineS: job.spec.deadlineS }, 'job completed');
   }
 }
--- a/src/leader/leader-components.ts
+++ b/src/leader/leader-components.ts
@@ -1,6 +1,6 @@
 /**
- * All components of a leader, built in the order of their dependencies. They share the leader's mailbox: whatever one of
- * them starts asynchronously comes back as a message to the leader.
+ * All components of a leader, built in the order of their dependencies. They share the leader's mailbox, so the
+ * result of each asynchronous operation that a component starts comes back as a message to the leader.
  */
 import { Autoscaler } from '../autoscaler/autoscaler.js';
 import { CloudClient, leaderCloudRates, type CloudEvent } from '../autoscaler/cloud-client.js';
@@ -22,43 +22,43 @@
 
 /** The components of one term's leader. */
 export class LeaderComponents {
-  /** Jobs, nodes, and the commands to workers. */
+  /** The components that manage jobs and nodes and send commands to workers. */
   readonly cluster: ClusterComponents;
   /** Places tasks on nodes. */
   readonly scheduler: Scheduler;
   /** Drains and terminates nodes. */
   readonly fleetReconciler: FleetReconciler;
-  /** Records the use of spot nodes. */
+  /** Records how many spot nodes are in use. */
   readonly spotUsageRecorder: SpotUsageRecorder;
-  /** Answers workers' heartbeats. */
+  /** Applies the heartbeats of workers and responds to them. */
   readonly heartbeatHandler: HeartbeatHandler;
-  /** One run of scheduling decisions. */
+  /** Makes the scheduling decisions. */
   readonly schedulingCycle: SchedulingCycle;
-  /** Applies events of the cloud. */
+  /** Applies cloud events. */
   readonly cloudEventHandler: CloudEventHandler;
 
-  private readonly cloud: CloudClient;
+  private readonly cloudClient: CloudClient;
   private readonly provisioner: Provisioner;
   private readonly autoscaler: Autoscaler;
-  private readonly spotInterruptions: SpotInterruptionRate;
+  private readonly spotInterruptionRate: SpotInterruptionRate;
   private readonly quotas: ReadonlyMap<string, TeamQuota>;
 
   constructor(
-    private readonly deps: LeaderDependencies,
+    private readonly dependencies: LeaderDependencies,
     private readonly mailbox: LeaderMailbox,
   ) {
-    const { settings, replica } = deps;
+    const { settings, replica } = dependencies;
     this.quotas = new Map(settings.teams.map((team) => [team.name, team]));
-    this.cloud = this.createCloudClient();
+    this.cloudClient = this.createCloudClient();
     this.provisioner = this.createProvisioner();
     this.cluster = new ClusterComponents({
-      deps,
+      dependencies,
       mailbox,
       handleCommandResponse: (node, heartbeat) =>
         this.heartbeatHandler.handleCommandResponse(node, heartbeat),
     });
     this.scheduler = this.createScheduler();
-    this.spotInterruptions = new SpotInterruptionRate(
+    this.spotInterruptionRate = new SpotInterruptionRate(
       replica.get(SPOT_INTERRUPTIONS_KEY)?.value,
       this.cluster.termStartMs,
     );
@@ -70,22 +70,25 @@
     this.cloudEventHandler = this.createCloudEventHandler();
   }
 
-  /** Loads what earlier terms have stored and committed, and starts the calls to the cloud. */
+  /**
+   * Loads what earlier terms stored, adopts the launches and terminations that they committed, and starts the calls
+   * to the cloud.
+   */
   start(): void {
-    const { reconciliation, nodeRecords, capacityOf } = this.cluster;
-    reconciliation.load(nodeRecords, capacityOf);
+    const { reconciliation, nodeRecords, getCapacity } = this.cluster;
+    reconciliation.load(nodeRecords, getCapacity);
     this.cloudEventHandler.adoptInheritedIntents();
-    this.cloud.send({ kind: 'tick' });
+    this.cloudClient.send({ kind: 'tick' });
   }
 
-  /** Stops the calls to the cloud and the intents of this term. */
+  /** Stops the calls to the cloud. No launch or termination is requested after that. */
   stop(): void {
-    this.cloud.stop();
+    this.cloudClient.stop();
     this.provisioner.stop();
   }
 
   private createCloudClient(): CloudClient {
-    const { settings, term, httpClient, leasedRoles, clock, log, resign } = this.deps;
+    const { settings, term, httpClient, leasedRoles, clock, log, resign } = this.dependencies;
     return new CloudClient({
       caller: httpClient,
       address: settings.cloudAddress,
@@ -99,8 +102,8 @@
   }
 
   private createProvisioner(): Provisioner {
-    const { leasedRoles, term, settings, resign } = this.deps;
-    if (!leasedRoles) return new DirectProvisioner(this.cloud);
+    const { leasedRoles, term, settings, resign } = this.dependencies;
+    if (!leasedRoles) return new DirectProvisioner(this.cloudClient);
     const sendEvent = (event: CloudEvent): void => this.mailbox.send({ kind: 'cloudEvent', event });
     return new DelegatedProvisioner({
       roles: leasedRoles,
@@ -112,8 +115,9 @@
   }
 
   private createScheduler(): Scheduler {
-    const { clusterState, nodeHealth, jobStore, instanceCatalog, reconciliation, commands } = this.cluster;
-    const { term, clock, log } = this.deps;
+    const { clusterState, nodeHealth, jobStore, instanceCatalog, reconciliation, commandDispatcher } =
+      this.cluster;
+    const { term, clock, log } = this.dependencies;
     return new Scheduler({
       clusterState,
       nodeHealth,
@@ -123,23 +127,23 @@
       instanceTypes: () => instanceCatalog.types,
       isReconciled: () => reconciliation.isComplete,
       wallMs: () => clock.wallMs(),
-      stopTask: (attempt, gracePeriodS) => commands.stop(attempt, gracePeriodS),
+      stopTask: (attempt, gracePeriodS) => commandDispatcher.stop(attempt, gracePeriodS),
       log,
     });
   }
 
   private createAutoscaler(): Autoscaler {
-    const { clusterState, nodeHealth, jobStore, instanceCatalog, capacityOf } = this.cluster;
-    const { settings, term, clock } = this.deps;
+    const { clusterState, nodeHealth, jobStore, instanceCatalog, getCapacity } = this.cluster;
+    const { settings, term, clock } = this.dependencies;
     return new Autoscaler({
       clusterState,
       nodeHealth,
       scheduler: this.scheduler,
       term: term.fencingToken,
       instanceTypes: () => instanceCatalog.types,
-      capacityOf,
+      capacityOf: getCapacity,
       useSpot: settings.operator.useSpot,
-      spotInterruptions: this.spotInterruptions,
+      spotInterruptions: this.spotInterruptionRate,
       startObjectives: settings.startObjectives,
       recentJobs: () => [...jobStore.jobs.values()].filter((job) => job.isService && job.isOpen),
       wallMs: () => clock.wallMs(),
@@ -148,9 +152,9 @@
   }
 
   private createFleetReconciler(): FleetReconciler {
-    const { clusterState, nodeHealth, reconciliation, nodeRecords, commands, capacityOf, nowMs } =
+    const { clusterState, nodeHealth, reconciliation, nodeRecords, commandDispatcher, getCapacity, nowMs } =
       this.cluster;
-    const { settings, term, log } = this.deps;
+    const { settings, term, log } = this.dependencies;
     return new FleetReconciler({
       settings,
       term,
@@ -158,11 +162,11 @@
       nodeHealth,
       reconciliation,
       nodeRecords,
-      workerCommands: commands,
+      commandDispatcher,
       provisioner: this.provisioner,
       autoscaler: this.autoscaler,
-      spotInterruptions: this.spotInterruptions,
-      capacityOf,
+      spotInterruptionRate: this.spotInterruptionRate,
+      getCapacity,
       nowMs,
       log,
     });
@@ -170,19 +174,20 @@
 
   private createSpotUsageRecorder(): SpotUsageRecorder {
     const { clusterState, commit, nowMs } = this.cluster;
-    const { spotInterruptions } = this;
+    const { spotInterruptionRate } = this;
     return new SpotUsageRecorder({
       clusterState,
-      spotInterruptions,
-      replica: this.deps.replica,
+      spotInterruptionRate,
+      replica: this.dependencies.replica,
       commit,
       nowMs,
     });
   }
 
   private createHeartbeatHandler(): HeartbeatHandler {
-    const { clusterState, jobStore, nodeRecords, commands, reconciliation, capacityOf, nowMs } = this.cluster;
-    const { term, cancellationWatermark, replica, settings, log } = this.deps;
+    const { clusterState, jobStore, nodeRecords, commandDispatcher, reconciliation, getCapacity, nowMs } =
+      this.cluster;
+    const { term, cancellationWatermark, replica, settings, log } = this.dependencies;
     const heartbeatReconciler = new HeartbeatReconciler({
       clusterState,
       leaseS: settings.leaseS,
@@ -195,25 +200,25 @@
       heartbeatReconciler,
       replica,
       nodeRecords,
-      commands,
+      commands: commandDispatcher,
       nowMs,
       log,
-      capacityOf,
-      wasDeleted: (name) => this.fleetReconciler.wasDeleted(name),
+      capacityOf: getCapacity,
+      wasDeleted: (name) => this.fleetReconciler.wasRecentlyDeleted(name),
       markReconciled: (node) => reconciliation.markReconciled(node),
       requestSchedulingCycle: this.mailbox.requestSchedulingCycle,
     });
   }
 
   private createSchedulingCycle(): SchedulingCycle {
-    const { jobStore, reconciliation, nodeRecords, commands } = this.cluster;
-    const { jobDependencies, clock, log } = this.deps;
+    const { jobStore, reconciliation, nodeRecords, commandDispatcher } = this.cluster;
+    const { jobDependencies, clock, log } = this.dependencies;
     return new SchedulingCycle({
       jobStore,
       jobDependencies,
       reconciliation,
       nodeRecords,
-      workerCommands: commands,
+      commandDispatcher,
       scheduler: this.scheduler,
       autoscaler: this.autoscaler,
       quotas: this.quotas,
@@ -232,7 +237,7 @@
       nodeRecords,
       provisioner: this.provisioner,
       nowMs,
-      log: this.deps.log,
+      log: this.dependencies.log,
       requestSchedulingCycle: this.mailbox.requestSchedulingCycle,
     });
   }
--- a/src/leader/leader-dependencies.ts
+++ b/src/leader/leader-dependencies.ts
@@ -1,4 +1,4 @@
-/** What a leader gets from its controller, and what its components get from it. */
+/** What a controller provides to its leader, and what the leader provides to its components. */
 import type { Logger } from 'pino';
 import type { LeasedRoles } from '@pumicehinge/duties';
 import type { Clock } from '@pumicehinge/runtime';
@@ -17,24 +17,33 @@
   readonly term: LeadershipTerm;
   readonly cancellationWatermark: CancellationWatermark;
   readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
-  /** Whether the state store answered the last call. */
+  /** Whether the state store responded to the last call. */
   readonly isStateStoreAvailable: () => boolean;
   readonly replica: StateReplica;
   readonly batcher: TransactionBatcher;
-  /** For calls to the cloud. */
+  /** Client for calls to the cloud. */
   readonly httpClient: HttpCaller;
   readonly workerHttpClient: HttpCaller;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Roles whose holders launch and terminate instances for the leader; undefined: it calls the cloud itself. */
+  /**
+   * Roles whose holders launch and terminate instances for the leader. Undefined if the leader calls the cloud
+   * itself.
+   */
   readonly leasedRoles: LeasedRoles | undefined;
-  /** Gives the term up: called when an actor of the leader failed, and when only a new term can go on. */
+  /**
+   * Gives up the term. It is called when an actor of the leader has failed, and when only a new term can continue the
+   * work.
+   */
   readonly resign: () => void;
-  /** Whether the zone has controllers and none of them is alive to the failure detector: it may be partitioned. */
+  /**
+   * Whether the zone has controllers but the failure detector considers none of them alive. Such a zone may be
+   * partitioned.
+   */
   readonly isZoneUnreachable: (zone: string) => boolean;
 }
 
-/** What the components of a leader call on it. */
+/** The functions of a leader that its components call. */
 export interface LeaderMailbox {
   readonly send: (message: LeaderMessage) => void;
   /** Requests a scheduling cycle as soon as the throttle allows one. */
--- a/src/leader/leader-message.ts
+++ b/src/leader/leader-message.ts
@@ -1,6 +1,6 @@
-/** The messages of the leader's mailbox: what other actors send, and the results of the leader's own calls. */
+/** The messages in the leader's mailbox: messages from other actors, and the results of the leader's own calls. */
 import type { CloudEvent } from '../autoscaler/cloud-client.js';
-import type { GroupWriteResult } from '../cluster/node-records.js';
+import type { NodeGroupWriteResult } from '../cluster/node-records.js';
 import type { KeyChange } from '../state/store-client.js';
 import type { CommandCallResult } from '../workers/command-dispatcher.js';
 import type { ReceivedHeartbeat } from '../workers/heartbeat-handler.js';
@@ -9,13 +9,13 @@
 
 /** A message to the leader of a term. */
 export type LeaderMessage =
-  /** A worker's heartbeat, to be answered. */
+  /** A worker sent a heartbeat that needs a response. */
   | ({ kind: 'heartbeat' } & ReceivedHeartbeat)
-  /** A key of the state store was changed, or is to be applied again after a read. */
+  /** A key of the state store has changed, or its value has to be applied again after a read. */
   | { kind: 'keyChanged'; change: KeyChange }
   | { kind: 'cloudEvent'; event: CloudEvent }
   | { kind: 'commandCallEnded'; result: CommandCallResult }
   | { kind: 'jobWriteEnded'; result: JobWriteResult }
-  | { kind: 'nodeGroupWriteEnded'; result: GroupWriteResult }
+  | { kind: 'nodeGroupWriteEnded'; result: NodeGroupWriteResult }
   | { kind: 'leaseCheckEnded'; result: LeaseCheckResult }
   | { kind: 'schedulingCycleDue' };
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -1,4 +1,7 @@
-/** The actor of one term of leadership: its mailbox, and when it reviews the fleet and runs scheduling cycles. */
+/**
+ * The actor that leads for one term. It handles the messages in its mailbox, and decides when to review the fleet and
+ * when to run scheduling cycles.
+ */
 import { Actor, assertNever } from '@pumicehinge/runtime';
 import {
   FLEET_REVIEW_MIN_INTERVAL_MS,
@@ -21,28 +24,30 @@
  */
 export class Leader extends Actor<LeaderMessage> {
   private readonly components: LeaderComponents;
-  private readonly cycleTask: ThrottledTask;
-  /** Reviews run within scheduling cycles, of which at least one comes every second. */
-  private readonly reviewThrottle: Throttle;
+  private readonly schedulingCycleTask: ThrottledTask;
+  /**
+   * Limits how often the fleet is reviewed. Reviews run within scheduling cycles, which run at least once per second.
+   */
+  private readonly fleetReviewThrottle: Throttle;
 
-  constructor(private readonly deps: LeaderDependencies) {
-    super(deps.log, deps.resign);
-    const { clock, log } = deps;
-    this.cycleTask = new ThrottledTask(
+  constructor(private readonly dependencies: LeaderDependencies) {
+    super(dependencies.log, dependencies.resign);
+    const { clock, log } = dependencies;
+    this.schedulingCycleTask = new ThrottledTask(
       clock,
       { minIntervalMs: SCHEDULING_CYCLE_MIN_INTERVAL_MS, restRatio: SCHEDULING_CYCLE_REST_RATIO },
       () => this.send({ kind: 'schedulingCycleDue' }),
     );
-    this.reviewThrottle = new Throttle(clock, {
+    this.fleetReviewThrottle = new Throttle(clock, {
       minIntervalMs: FLEET_REVIEW_MIN_INTERVAL_MS,
       restRatio: FLEET_REVIEW_REST_RATIO,
     });
-    this.components = new LeaderComponents(deps, {
+    this.components = new LeaderComponents(dependencies, {
       send: (message) => this.send(message),
-      requestSchedulingCycle: () => this.cycleTask.request(),
+      requestSchedulingCycle: () => this.schedulingCycleTask.request(),
     });
     this.components.start();
-    this.cycleTask.request();
+    this.schedulingCycleTask.request();
     const { jobStore, reconciliation } = this.components.cluster;
     log.info(
       { jobs: jobStore.jobs.size, unreconciledNodes: reconciliation.unreconciledCount },
@@ -50,16 +55,16 @@
     );
   }
 
-  /** Ends the term's work: timers, calls to the cloud and intents. */
+  /** Stops the work of the term: its timers, its calls to the cloud, and its requests for launches and terminations. */
   override stop(): void {
     super.stop();
     this.components.stop();
-    this.cycleTask.stop();
+    this.schedulingCycleTask.stop();
   }
 
-  /** Number of running tasks by job uid, for display; jobs without running tasks are left out. */
-  runningTaskCounts(): Record<string, number> {
-    return this.components.cluster.jobStore.runningTaskCounts();
+  /** Counts the running tasks of each job for display, by job uid. Jobs without running tasks are left out. */
+  countRunningTasks(): Record<string, number> {
+    return this.components.cluster.jobStore.countRunningTasks();
   }
 
   protected receive(message: LeaderMessage): void {
@@ -72,17 +77,17 @@
       case 'cloudEvent':
         return cloudEventHandler.handle(message.event);
       case 'commandCallEnded':
-        return cluster.commands.handleCallResult(message.result);
+        return cluster.commandDispatcher.handleCallResult(message.result);
       case 'jobWriteEnded':
         cluster.jobStore.handleWriteResult(message.result);
-        return this.cycleTask.request();
+        return this.schedulingCycleTask.request();
       case 'nodeGroupWriteEnded':
         cluster.nodeRecords.handleWriteResult(message.result);
-        return this.cycleTask.request();
+        return this.schedulingCycleTask.request();
       case 'leaseCheckEnded':
-        return cluster.reconciliation.handleLeaseCheck(message.result);
+        return cluster.reconciliation.handleLeaseCheckResult(message.result);
       case 'schedulingCycleDue':
-        return this.cycleTask.run((nowMs) => this.runCycle(nowMs));
+        return this.schedulingCycleTask.run((nowMs) => this.runSchedulingCycle(nowMs));
       default:
         return assertNever(message);
     }
@@ -93,38 +98,42 @@
     if (isDelegatedLeasesKey(change.key)) reconciliation.handleDelegatedLease(change);
     if (!isJobKey(change.key)) return;
     if (change.value !== undefined) jobStore.applyChange(change);
-    this.cycleTask.request();
+    this.schedulingCycleTask.request();
   }
 
-  /** Reviews the fleet if that is due, then schedules and sends commands. */
-  private runCycle(nowMs: number): void {
-    // Without authority it receives no heartbeats, and another controller may lead: nodes that only seem unreachable
-    // would be terminated under that one's tasks.
-    if (!this.deps.term.authority.isValid(nowMs)) {
-      this.cycleTask.requestBy(nowMs + SCHEDULING_CYCLE_MAX_INTERVAL_MS);
+  /** Reviews the fleet if a review is due, then makes the scheduling decisions and sends commands. */
+  private runSchedulingCycle(nowMs: number): void {
+    // Without authority the leader receives no heartbeats, and another controller may lead. Nodes that only seem
+    // unreachable would be terminated while tasks of that other leader run on them.
+    if (!this.dependencies.term.authority.isValid(nowMs)) {
+      this.schedulingCycleTask.requestBy(nowMs + SCHEDULING_CYCLE_MAX_INTERVAL_MS);
       return;
     }
     const { schedulingCycle, scheduler, cluster } = this.components;
-    const { commands, nodeRecords } = cluster;
-    if (this.reviewThrottle.isDue(nowMs)) this.reviewThrottle.run((startedMs) => this.reviewFleet(startedMs));
+    const { commandDispatcher, nodeRecords } = cluster;
+    if (this.fleetReviewThrottle.isDue(nowMs))
+      this.fleetReviewThrottle.run((startedMs) => this.reviewFleet(startedMs));
     schedulingCycle.run(nowMs);
-    commands.sendPending(nowMs);
-    if (commands.needsNewTerm(nowMs) || scheduler.needsNewTerm) this.deps.resign();
+    commandDispatcher.sendPending(nowMs);
+    if (commandDispatcher.needsNewTerm(nowMs) || scheduler.needsNewTerm) this.dependencies.resign();
     if (this.isStopped) return;
-    const flushDelayMs = Math.max(nodeRecords.flushDelayMs(nowMs), SCHEDULING_CYCLE_MIN_INTERVAL_MS);
-    this.cycleTask.requestBy(nowMs + Math.min(SCHEDULING_CYCLE_MAX_INTERVAL_MS, flushDelayMs));
+    const flushDelayMs = Math.max(nodeRecords.computeFlushDelayMs(nowMs), SCHEDULING_CYCLE_MIN_INTERVAL_MS);
+    this.schedulingCycleTask.requestBy(nowMs + Math.min(SCHEDULING_CYCLE_MAX_INTERVAL_MS, flushDelayMs));
   }
 
-  /** Reviews each node. Less often than the cycles: health, interruption notices and leases change over seconds. */
+  /**
+   * Reviews each node. Reviews are less frequent than scheduling cycles, because health, interruption notices and
+   * leases change over seconds.
+   */
   private reviewFleet(nowMs: number): void {
     const { fleetReconciler, spotUsageRecorder, cluster } = this.components;
     const { nodeHealth } = cluster;
-    nodeHealth.evaluate(nowMs);
+    nodeHealth.evaluateNodes(nowMs);
     fleetReconciler.reviewNodes(nowMs);
     spotUsageRecorder.record(nowMs);
-    fleetReconciler.terminateUnneeded(nowMs);
+    fleetReconciler.terminateUnneededNodes(nowMs);
     if (!nodeHealth.isLeaderPartitioned(nowMs)) return;
     this.log.info('leader partitioned from most nodes, resigning');
-    this.deps.resign();
+    this.dependencies.resign();
   }
 }
--- a/src/leader/leadership.ts
+++ b/src/leader/leadership.ts
@@ -1,4 +1,4 @@
-/** The leader of this controller while it holds a term: built when a term begins, discarded when it ends. */
+/** Manages the leader of this controller, which is built when a term begins and discarded when the term ends. */
 import { sleep } from '@pumicehinge/runtime';
 import { STATE_RETRY_MS } from '../constants.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
@@ -6,7 +6,7 @@
 import { Leader } from './leader.js';
 import type { LeaderDependencies } from './leader-dependencies.js';
 
-/** Dependencies of `Leadership`: those of each leader, and the election's view of its term. */
+/** Dependencies of `Leadership`: those of each leader, and a check whether its term is still held. */
 export interface LeadershipDependencies extends Omit<LeaderDependencies, 'term'> {
   /** Whether this controller still holds the term. */
   readonly isCurrentTerm: (term: LeadershipTerm) => boolean;
@@ -17,28 +17,31 @@
   private currentLeader: Leader | undefined;
   private currentRedirector: RelayRedirector | undefined;
 
-  constructor(private readonly deps: LeadershipDependencies) {}
+  constructor(private readonly dependencies: LeadershipDependencies) {}
 
-  /** The leader, once it is ready; undefined while this controller holds no term. */
+  /** The leader of the current term. Undefined until the leader is ready, and while this controller holds no term. */
   get leader(): Leader | undefined {
     return this.currentLeader;
   }
 
-  /** Keeps heartbeats off the leader; undefined while this controller holds no term. */
+  /** Redirects heartbeats from the leader to other controllers. Undefined while there is no leader here. */
   get redirector(): RelayRedirector | undefined {
     return this.currentRedirector;
   }
 
-  /** Builds the leader once the replica holds everything that earlier terms wrote; gives up if the term ends before. */
+  /**
+   * Builds the leader once the replica holds everything that earlier terms wrote. No leader is built if the term ends
+   * before that.
+   */
   async begin(term: LeadershipTerm): Promise<void> {
-    const { isCurrentTerm, ...leaderDependencies } = this.deps;
-    const { replica, clock } = this.deps;
+    const { isCurrentTerm, ...leaderDependencies } = this.dependencies;
+    const { replica, clock } = this.dependencies;
     for (;;) {
       try {
         await replica.linearizableRead();
         break;
       } catch {
-        // Whatever the failure was, nothing may be decided without this read.
+        // The read is repeated after any failure, because nothing may be decided without it.
         await sleep(clock, STATE_RETRY_MS);
       }
     }
--- a/src/leader/running-task-counts.ts
+++ b/src/leader/running-task-counts.ts
@@ -1,4 +1,7 @@
-/** The numbers of running tasks that users see: counted by the leader, and broadcast to all other controllers. */
+/**
+ * The numbers of running tasks that users see. The leader counts the tasks and broadcasts the numbers to all other
+ * controllers.
+ */
 import type { Clock } from '@pumicehinge/runtime';
 import { PEER_HEARTBEAT_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
@@ -10,36 +13,36 @@
   readonly peers: readonly Peer[];
   readonly transport: PeerTransport;
   readonly clock: Clock;
-  /** The leader, while this controller leads. */
-  readonly leader: () => Pick<Leader, 'runningTaskCounts'> | undefined;
+  /** Returns the leader, or undefined while this controller does not lead. */
+  readonly leader: () => Pick<Leader, 'countRunningTasks'> | undefined;
 }
 
-/** The latest counts that are known here; they may be some seconds old and are for display only. */
+/** Holds the latest counts that this controller knows. They may be some seconds old and are for display only. */
 export class RunningTaskCounts {
   private countsByJob: Record<string, number> = {};
 
-  constructor(private readonly deps: RunningTaskCountsDependencies) {
-    deps.transport.onMessage((_member, message) => {
-      if (message.kind === 'counts' && !deps.leader()) this.countsByJob = message.running;
+  constructor(private readonly dependencies: RunningTaskCountsDependencies) {
+    dependencies.transport.onMessage((_member, message) => {
+      if (message.kind === 'counts' && !dependencies.leader()) this.countsByJob = message.running;
     });
   }
 
-  /** Number of running tasks of a job. */
+  /** Returns the latest known number of running tasks of a job. */
   countOf(jobUid: string): number {
     return this.countsByJob[jobUid] ?? 0;
   }
 
-  /** Broadcasts the counts now and at each interval of the peers' heartbeats, while this controller leads. */
+  /** Broadcasts the counts now and then once per interval of the peer heartbeats, while this controller leads. */
   start(): void {
     this.broadcast();
-    this.deps.clock.after(PEER_HEARTBEAT_MS, () => this.start());
+    this.dependencies.clock.after(PEER_HEARTBEAT_MS, () => this.start());
   }
 
   private broadcast(): void {
-    const leader = this.deps.leader();
+    const leader = this.dependencies.leader();
     if (!leader) return;
-    this.countsByJob = leader.runningTaskCounts();
-    for (const { member } of this.deps.peers)
-      this.deps.transport.send(member, { kind: 'counts', running: this.countsByJob });
+    this.countsByJob = leader.countRunningTasks();
+    for (const { member } of this.dependencies.peers)
+      this.dependencies.transport.send(member, { kind: 'counts', running: this.countsByJob });
   }
 }
--- a/src/leader/scheduling-cycle.ts
+++ b/src/leader/scheduling-cycle.ts
@@ -1,4 +1,6 @@
-/** One run of the scheduler over all jobs: place, persist, scale out and preempt, in the order of release. */
+/**
+ * One scheduling cycle over all jobs in scheduling order: it places tasks, persists changes, scales out and preempts.
+ */
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
@@ -20,7 +22,7 @@
   readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
   readonly reconciliation: Pick<TermReconciliation, 'isComplete'>;
   readonly nodeRecords: Pick<NodeRecords, 'flush'>;
-  readonly workerCommands: Pick<CommandDispatcher, 'stop'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'stop'>;
   readonly scheduler: Pick<Scheduler, 'schedule' | 'preempt'>;
   readonly autoscaler: Pick<Autoscaler, 'scaleOut'>;
   readonly quotas: ReadonlyMap<string, TeamQuota>;
@@ -30,80 +32,90 @@
 
 /** Runs the scheduling decisions of the leader, and drops jobs that have ended. */
 export class SchedulingCycle {
-  /** Scaling out runs within cycles, but less often: nodes boot for many seconds. */
+  /**
+   * Limits how often the fleet is scaled out. This is done within cycles, but less often, because nodes boot for many
+   * seconds.
+   */
   private readonly scaleOutThrottle: Throttle;
 
-  constructor(private readonly deps: SchedulingCycleDependencies) {
-    this.scaleOutThrottle = new Throttle(deps.clock, {
+  constructor(private readonly dependencies: SchedulingCycleDependencies) {
+    this.scaleOutThrottle = new Throttle(dependencies.clock, {
       minIntervalMs: SCALE_OUT_MIN_INTERVAL_MS,
       restRatio: FLEET_REVIEW_REST_RATIO,
     });
   }
 
-  /** One cycle, at this steady ms. */
+  /** Runs one cycle at this steady time in ms. */
   run(nowMs: number): void {
-    const { jobStore, nodeRecords, scheduler, autoscaler, quotas } = this.deps;
+    const { jobStore, nodeRecords, scheduler, autoscaler, quotas } = this.dependencies;
     const openJobs = this.collectOpenJobs();
-    const withinGuarantee = findJobsWithinGuarantee(openJobs, quotas);
-    this.sortByRelease(openJobs, withinGuarantee, nowMs);
+    const jobsWithinGuarantee = findJobsWithinGuarantee(openJobs, quotas);
+    this.sortBySchedulingOrder(openJobs, jobsWithinGuarantee, nowMs);
     const pendingJobs = scheduler.schedule(openJobs, nowMs);
     for (const job of openJobs) jobStore.persist(job);
     nodeRecords.flush(nowMs);
     if (this.scaleOutThrottle.isDue(nowMs))
       this.scaleOutThrottle.run(() => autoscaler.scaleOut(pendingJobs, nowMs));
-    scheduler.preempt(openJobs, pendingJobs, withinGuarantee, nowMs);
+    scheduler.preempt(openJobs, pendingJobs, jobsWithinGuarantee, nowMs);
   }
 
-  private sortByRelease(openJobs: Job[], withinGuarantee: ReadonlySet<Job>, nowMs: number): void {
-    const wallMs = this.deps.clock.wallMs();
+  private sortBySchedulingOrder(openJobs: Job[], jobsWithinGuarantee: ReadonlySet<Job>, nowMs: number): void {
+    const wallMs = this.dependencies.clock.wallMs();
     const deadlinesMs = new Map(openJobs.map((job) => [job, job.schedulingDeadlineMs(wallMs)]));
     openJobs.sort(
       compareByRelease(
-        withinGuarantee,
+        jobsWithinGuarantee,
         (job) => nowMs - job.queueTimes.starvingSinceMs > STARVATION_MS,
         (job) => deadlinesMs.get(job) ?? Infinity,
       ),
     );
   }
 
-  /** The jobs that take part in this cycle; ended jobs of which nothing is left are dropped from the store. */
+  /**
+   * Collects the jobs that take part in this cycle. Ended jobs with nothing left to stop or to write are dropped from
+   * the store.
+   */
   private collectOpenJobs(): Job[] {
     const openJobs: Job[] = [];
-    for (const job of this.deps.jobStore.jobs.values()) {
+    for (const job of this.dependencies.jobStore.jobs.values()) {
       if (this.isBlockedByDependencies(job)) continue;
       this.updateEnding(job);
       if (job.isOpen) openJobs.push(job);
-      else this.finishEndedJob(job);
+      else this.persistAndDropEndedJob(job);
     }
     return openJobs;
   }
 
-  /** Whether jobs that it depends on are not done yet: then it takes part in nothing. */
+  /** Whether the job waits for jobs that it depends on. A waiting job takes no part in the cycle. */
   private isBlockedByDependencies(job: Job): boolean {
     if (!job.hasDependencies || !job.isOpen) return false;
-    const status = this.deps.jobDependencies.statusOf(job.uid);
-    if (status === 'cancelled') this.deps.jobStore.cancel(job);
+    const status = this.dependencies.jobDependencies.statusOf(job.uid);
+    if (status === 'cancelled') this.dependencies.jobStore.cancel(job);
     if (status === 'ready' && Number.isNaN(job.queueTimes.dependenciesMetMs)) {
-      job.queueTimes.recordDependenciesMet(this.deps.jobStore.dependenciesFinishedMs(job));
-      this.deps.log.debug({ job: job.uid }, 'job dependencies completed');
+      job.queueTimes.recordDependenciesMet(this.dependencies.jobStore.findDependenciesFinishedMs(job));
+      this.dependencies.log.debug({ job: job.uid }, 'job dependencies completed');
     }
     return status === 'waiting';
   }
 
-  /** Ends an open job whose pipeline has reached an acceptable end; one that expired goes on as its successor. */
+  /**
+   * Ends an open job whose pipeline has reached an acceptable end. A job whose pipeline has expired continues with
+   * the successor of the pipeline.
+   */
   private updateEnding(job: Job): void {
     if (!job.isOpen) return;
-    const { clock, workerCommands, log } = this.deps;
+    const { clock, commandDispatcher, log } = this.dependencies;
     const ending = job.updateEnding(clock.wallMs());
-    if (ending === 'expired') log.info({ job: job.uid }, 'pipeline expired, tasks adopted by its successor');
+    if (ending === 'expired')
+      log.info({ job: job.uid }, 'pipeline expired; job continues with the successor pipeline');
     if (ending !== 'acceptable') return;
-    for (const attempt of job.allocations.values()) workerCommands.stop(attempt, 0);
+    for (const attempt of job.allocations.values()) commandDispatcher.stop(attempt, 0);
   }
 
-  /** Persists the end of a job, and drops it once nothing of it is left on nodes or to be written. */
-  private finishEndedJob(job: Job): void {
-    const { jobStore, reconciliation } = this.deps;
-    // Until all nodes are reconciled, tasks of a cancelled job may run that are not known yet.
+  /** Persists the end of a job, and drops the job once it has no attempts on nodes and nothing left to write. */
+  private persistAndDropEndedJob(job: Job): void {
+    const { jobStore, reconciliation } = this.dependencies;
+    // Until all nodes are reconciled, tasks of a cancelled job may run that the leader does not know yet.
     if (reconciliation.isComplete || job.phase === 'done') jobStore.persist(job);
     const isSettled = job.allocations.size === 0 && !job.persistence.writeInProgress && !job.needsWrite;
     if (isSettled) jobStore.jobs.delete(job.uid);
--- a/src/leader/spot-usage-recorder.ts
+++ b/src/leader/spot-usage-recorder.ts
@@ -1,4 +1,4 @@
-/** Keeps the rate of spot interruptions up to date and stored, so that the next term starts from it. */
+/** Updates and stores the rate of spot interruptions, so that the next term starts from it. */
 import type { SpotInterruptionRate } from '../autoscaler/spot-interruption-rate.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
 import { SPOT_INTERRUPTIONS_WRITE_INTERVAL_MS } from '../constants.js';
@@ -9,37 +9,40 @@
 /** Dependencies of `SpotUsageRecorder`. */
 export interface SpotUsageRecorderDependencies {
   readonly clusterState: Pick<ClusterState, 'nodes'>;
-  readonly spotInterruptions: SpotInterruptionRate;
+  readonly spotInterruptionRate: SpotInterruptionRate;
   readonly replica: StateReplica;
   readonly commit: CommitInTerm;
   readonly nowMs: () => number;
 }
 
-/** Records how many spot nodes are in use: their interruptions are counted per hour of use. */
+/** Records how many spot nodes are in use, because their interruptions are counted per hour of use. */
 export class SpotUsageRecorder {
   private lastWriteMs: number;
 
-  constructor(private readonly deps: SpotUsageRecorderDependencies) {
-    this.lastWriteMs = deps.nowMs();
+  constructor(private readonly dependencies: SpotUsageRecorderDependencies) {
+    this.lastWriteMs = dependencies.nowMs();
   }
 
-  /** Records the use at this steady ms, and now and then writes the record to the state store. */
+  /**
+   * Records the number of spot nodes in use at this steady time in ms, and periodically writes the record to the
+   * state store.
+   */
   record(nowMs: number): void {
-    const { clusterState, spotInterruptions } = this.deps;
-    let inUse = 0;
-    for (const node of clusterState.nodes.values()) if (node.spot && node.reconciled) inUse++;
-    spotInterruptions.recordUsage(inUse, nowMs);
+    const { clusterState, spotInterruptionRate } = this.dependencies;
+    let spotNodesInUse = 0;
+    for (const node of clusterState.nodes.values()) if (node.spot && node.reconciled) spotNodesInUse++;
+    spotInterruptionRate.recordUsage(spotNodesInUse, nowMs);
     if (nowMs - this.lastWriteMs < SPOT_INTERRUPTIONS_WRITE_INTERVAL_MS) return;
     this.lastWriteMs = nowMs;
     this.write();
   }
 
   private write(): void {
-    const { replica, commit, spotInterruptions } = this.deps;
+    const { replica, commit, spotInterruptionRate } = this.dependencies;
     const modRevision = replica.get(SPOT_INTERRUPTIONS_KEY)?.modRevision ?? 0;
     void commit(
       [{ key: SPOT_INTERRUPTIONS_KEY, modRevision }],
-      [{ key: SPOT_INTERRUPTIONS_KEY, value: spotInterruptions.toRecord() }],
+      [{ key: SPOT_INTERRUPTIONS_KEY, value: spotInterruptionRate.toRecord() }],
     );
   }
 }
--- a/src/leader/task-lifecycle.ts
+++ b/src/leader/task-lifecycle.ts
@@ -1,4 +1,4 @@
-/** The start condition of task attempts, and the consequences of their ends. */
+/** Decides when task attempts may start, and handles the ends of attempts. */
 import type { Logger } from 'pino';
 import type { Attempt, Job } from '../cluster/cluster-state.js';
 import type { CancellationWatermark } from '../election/cancellation-watermark.js';
@@ -9,78 +9,84 @@
 
 /** Dependencies of `TaskLifecycle`. */
 export interface TaskLifecycleDependencies {
-  readonly workerCommands: Pick<CommandDispatcher, 'forget'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'forget'>;
   readonly reconciliation: Pick<TermReconciliation, 'isComplete'>;
   readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
   readonly cancellationWatermark: Pick<CancellationWatermark, 'mayStart'>;
-  /** Whether the state store answered the last call. */
+  /** Whether the state store responded to the last call. */
   readonly isStateStoreAvailable: () => boolean;
   readonly nowMs: () => number;
-  /** Steady ms at which the term began. */
+  /** Steady time in ms at which the term began. */
   readonly termStartMs: number;
   readonly heartbeatIntervalS: number;
   readonly log: Logger;
   readonly requestSchedulingCycle: () => void;
 }
 
-/** The exit of an attempt: its cause, its run time as far as known, and the steady ms at which it was reported. */
+/**
+ * The exit of an attempt: its cause, its run time as far as it is known, and the steady time in ms at which it was
+ * reported.
+ */
 interface TaskExit {
   readonly cause: ExitCause;
-  readonly ranS: number;
+  readonly runTimeS: number;
   readonly nowMs: number;
 }
 
-const taskName = ({ jobUid, index }: Attempt): string => `${jobUid}/${index}`;
+const formatTaskName = ({ jobUid, index }: Attempt): string => `${jobUid}/${index}`;
 
 /** Decides whether an attempt may be started, and applies its end to its job and its node. */
 export class TaskLifecycle {
-  constructor(private readonly deps: TaskLifecycleDependencies) {}
+  constructor(private readonly dependencies: TaskLifecycleDependencies) {}
 
-  /** Whether the attempt may be started; to be checked right before each start command is sent. */
+  /** Whether the attempt may be started. This has to be checked right before each start command is sent. */
   mayStart({ job, node }: Attempt): boolean {
-    const { jobDependencies, cancellationWatermark, reconciliation } = this.deps;
+    const { jobDependencies, cancellationWatermark, reconciliation } = this.dependencies;
     if (!job || !job.isOpen || !job.isExecutionPersisted) return false;
     if (!node.persisted || !node.reconciled || node.terminating) return false;
     if (job.hasDependencies && jobDependencies.statusOf(job.uid) !== 'ready') return false;
-    const source = this.deps.isStateStoreAvailable() ? 'stateStore' : 'peers';
-    if (!cancellationWatermark.mayStart(this.deps.nowMs(), source)) return false;
+    const source = this.dependencies.isStateStoreAvailable() ? 'stateStore' : 'peers';
+    if (!cancellationWatermark.mayStart(this.dependencies.nowMs(), source)) return false;
     // The tasks of a job that an earlier term started may still run on nodes that are not reconciled.
     return reconciliation.isComplete || !job.startedInEarlierTerm;
   }
 
-  /** The worker reported that the attempt has exited. */
+  /** Handles an attempt that has exited according to its worker. */
   handleExited(attempt: Attempt, cause: ExitCause): void {
     const { node, job } = attempt;
-    const nowMs = this.deps.nowMs();
-    const ranS = Math.round((nowMs - attempt.startedMs) / 1000);
-    this.deps.log.debug({ task: taskName(attempt), node: node.name, cause, ranS }, 'task exited');
-    this.deps.workerCommands.forget(attempt);
+    const nowMs = this.dependencies.nowMs();
+    const runTimeS = Math.round((nowMs - attempt.startedMs) / 1000);
+    this.dependencies.log.debug(
+      { task: formatTaskName(attempt), node: node.name, cause, ranS: runTimeS },
+      'task exited',
+    );
+    this.dependencies.commandDispatcher.forget(attempt);
     if (node.attempts.size === 0) node.markIdle(nowMs);
     if (!job) return;
-    this.applyExit(job, attempt, { cause, ranS, nowMs });
-    this.deps.requestSchedulingCycle();
+    this.applyExit(job, attempt, { cause, runTimeS, nowMs });
+    this.dependencies.requestSchedulingCycle();
   }
 
-  /** The attempt is surely over, but did not report an exit: its task is pending again. */
+  /** Handles an attempt that has certainly ended without a reported exit. Its task is pending again. */
   handleReleased(attempt: Attempt): void {
     if (attempt.state !== 'planned')
-      this.deps.log.info({ task: taskName(attempt), node: attempt.node.name }, 'task lost');
-    this.deps.workerCommands.forget(attempt);
-    this.deps.requestSchedulingCycle();
+      this.dependencies.log.info({ task: formatTaskName(attempt), node: attempt.node.name }, 'task lost');
+    this.dependencies.commandDispatcher.forget(attempt);
+    this.dependencies.requestSchedulingCycle();
   }
 
-  private applyExit(job: Job, attempt: Attempt, { cause, ranS, nowMs }: TaskExit): void {
+  private applyExit(job: Job, attempt: Attempt, { cause, runTimeS, nowMs }: TaskExit): void {
     const { node } = attempt;
     if (cause === 'completed' && !job.isService) {
       job.completeTask(attempt.index);
-      // The start of an attempt of an earlier term is not known, so neither is its run time.
-      if (attempt.startedMs > this.deps.termStartMs) job.progress.recordRunTime(ranS);
+      // The start time of an attempt of an earlier term is unknown, and therefore its run time as well.
+      if (attempt.startedMs > this.dependencies.termStartMs) job.progress.recordRunTime(runTimeS);
     } else if (cause === 'failed') {
       job.progress.recordFailure(node.name, nowMs);
       node.recordFailedJob(job.uid);
-      this.deps.log.info({ task: taskName(attempt), node: node.name }, 'task failed');
+      this.dependencies.log.info({ task: formatTaskName(attempt), node: node.name }, 'task failed');
     } else if (cause === 'unknownTask' || cause === 'insufficientResources') {
-      job.progress.delayStarts(nowMs + this.deps.heartbeatIntervalS * 1000);
+      job.progress.delayStarts(nowMs + this.dependencies.heartbeatIntervalS * 1000);
     }
   }
 }
--- a/src/leader/term-reconciliation.ts
+++ b/src/leader/term-reconciliation.ts
@@ -1,6 +1,6 @@
 /**
- * Reconciliation at the start of a term: which nodes may still run tasks of earlier terms, which leases are renewed by
- * lease renewal proxies, and when a lease has surely expired.
+ * Reconciliation at the start of a term. It tracks which nodes may still run tasks of earlier terms, which leases are
+ * renewed by lease renewal proxies, and when a lease has certainly expired.
  */
 import type { Logger } from 'pino';
 import type { ClusterState, Node, Resources } from '../cluster/cluster-state.js';
@@ -12,126 +12,137 @@
 import type { KeyChange } from '../state/store-client.js';
 import type { CommitInTerm } from './term-transactions.js';
 
-/** The end of the read that confirms the expiry of a node's lease. */
+/** The result of the read that confirms the expiry of a node's lease. */
 export interface LeaseCheckResult {
   readonly node: Node;
-  /** Steady ms of the expiry that was to be confirmed. */
+  /** Steady time in ms of the expiry that the read had to confirm. */
   readonly leaseExpiryMs: number;
-  /** Whether the read succeeded: all delegations of leases up to its beginning are known. */
-  readonly confirmed: boolean;
+  /**
+   * Whether the read succeeded. In that case all lease delegations that were stored before the read began are known.
+   */
+  readonly isConfirmed: boolean;
 }
 
 /** Dependencies of `TermReconciliation`. */
 export interface TermReconciliationDependencies {
-  /** Number of the term. */
-  readonly term: number;
-  /** Duration of a node's lease. */
+  /** Fencing token of the term. */
+  readonly fencingToken: number;
+  /** Duration of a node's lease in seconds. */
   readonly leaseS: number;
   readonly clusterState: ClusterState;
   readonly replica: StateReplica;
   readonly commit: CommitInTerm;
   readonly nowMs: () => number;
   readonly log: Logger;
-  /** The result comes back through the leader's mailbox into `handleLeaseCheck`. */
-  readonly leaseCheckCompleted: (result: LeaseCheckResult) => void;
+  /**
+   * Called when a lease check has ended. The result comes back through the leader's mailbox to
+   * `handleLeaseCheckResult`.
+   */
+  readonly onLeaseCheckCompleted: (result: LeaseCheckResult) => void;
   readonly requestSchedulingCycle: () => void;
 }
 
 /**
- * What earlier terms and lease renewal proxies may still keep running on nodes. A node that an earlier term used counts
- * as holding tasks until it sends a heartbeat with this term's fencing token, is deleted, or its lease has surely
- * expired.
+ * Tracks the nodes that may still run tasks because of earlier terms or lease renewal proxies. A node that an earlier
+ * term used counts as holding tasks until it sends a heartbeat with this term's fencing token, it is deleted, or its
+ * lease has certainly expired.
  */
 export class TermReconciliation {
-  private readonly startedMs: number;
-  /** Nodes persisted by earlier terms, on which unknown tasks may run. */
-  private readonly unreconciled = new Set<Node>();
-  /** Names of the nodes whose leases proxies renew, by the key of the proxies' records. */
-  private readonly delegatedByKey = new Map<string, readonly string[]>();
-  private delegatedNames: ReadonlySet<string> = new Set<string>();
+  private readonly startMs: number;
+  /** Nodes that earlier terms used, on which unknown tasks may run. */
+  private readonly unreconciledNodes = new Set<Node>();
+  /** Names of the nodes whose leases a proxy renews, by the key of the proxy's record. */
+  private readonly delegatedNodeNamesByKey = new Map<string, readonly string[]>();
+  private delegatedNodeNames: ReadonlySet<string> = new Set<string>();
   /** Nodes whose lease expiry is being confirmed. */
-  private readonly leaseChecks = new Set<Node>();
+  private readonly pendingLeaseChecks = new Set<Node>();
 
-  constructor(private readonly deps: TermReconciliationDependencies) {
-    this.startedMs = deps.nowMs();
+  constructor(private readonly dependencies: TermReconciliationDependencies) {
+    this.startMs = dependencies.nowMs();
   }
 
-  /** Loads the nodes of earlier terms into the cluster state, and deletes the delegations of earlier terms. */
-  load(nodeRecords: NodeRecords, capacityOf: (type: string) => Resources): void {
-    const nowMs = this.deps.nowMs();
-    for (const [node, isUsed] of nodeRecords.load(this.deps.clusterState, capacityOf, nowMs)) {
+  /** Loads the nodes of earlier terms into the cluster state, and deletes the lease delegations of earlier terms. */
+  load(nodeRecords: NodeRecords, getCapacity: (typeName: string) => Resources): void {
+    const nowMs = this.dependencies.nowMs();
+    for (const [node, isUsed] of nodeRecords.load(this.dependencies.clusterState, getCapacity, nowMs)) {
       if (!isUsed) continue;
-      // The leader before answered it before this term began at the latest. A proxy may have answered it for a moment
-      // longer, and a response may have been under way through a relay.
+      // The previous leader answered the node for the last time before this term began. A proxy may have answered it
+      // for a moment longer, and a response may still have been in transit through a relay.
       const lastResponseMs = nowMs + Math.max(LEASE_PROXY_READ_VALIDITY_MS, RELAY_RESPONSE_VALIDITY_MS);
-      node.extendLease(leaseExpiryMs(lastResponseMs, this.deps.leaseS));
-      this.unreconciled.add(node);
+      node.extendLease(leaseExpiryMs(lastResponseMs, this.dependencies.leaseS));
+      this.unreconciledNodes.add(node);
     }
-    for (const { key, modRevision } of [...this.deps.replica.listPrefix(DELEGATED_LEASES_PREFIX)]) {
-      // A record of an earlier term: its proxy registers the nodes again, or is gone.
-      void this.deps.commit([{ key, modRevision }], [{ key, value: undefined }]);
+    for (const { key, modRevision } of [...this.dependencies.replica.listPrefix(DELEGATED_LEASES_PREFIX)]) {
+      // This record is from an earlier term. Its proxy either registers the nodes again or no longer exists.
+      void this.dependencies.commit([{ key, modRevision }], [{ key, value: undefined }]);
     }
   }
 
   /** Whether all nodes of earlier terms are reconciled. */
   get isComplete(): boolean {
-    return this.unreconciled.size === 0;
+    return this.unreconciledNodes.size === 0;
   }
 
   /** Number of nodes that are not reconciled yet. */
   get unreconciledCount(): number {
-    return this.unreconciled.size;
+    return this.unreconciledNodes.size;
   }
 
-  /** From now on all tasks on the node are known. */
+  /** Records that all tasks on the node are known from now on. */
   markReconciled(node: Node): void {
-    if (!this.unreconciled.delete(node) || !this.isComplete) return;
-    const elapsedMs = Math.round(this.deps.nowMs() - this.startedMs);
-    this.deps.log.info({ elapsedMs }, 'all nodes reconciled');
+    if (!this.unreconciledNodes.delete(node) || !this.isComplete) return;
+    const elapsedMs = Math.round(this.dependencies.nowMs() - this.startMs);
+    this.dependencies.log.info({ elapsedMs }, 'all nodes reconciled');
   }
 
-  /** Applies a change of a proxy's record of the nodes whose leases it renews while the leader can't reach them. */
+  /**
+   * Applies a change of the record in which a proxy lists the nodes whose leases it renews while the leader cannot
+   * reach them.
+   */
   handleDelegatedLease(change: KeyChange): void {
     const record = decodeDelegatedLeases(change.value);
-    const previousNames = this.delegatedByKey.get(change.key) ?? [];
-    if (record?.term === this.deps.term) this.delegatedByKey.set(change.key, record.nodes);
-    else this.delegatedByKey.delete(change.key);
-    this.delegatedNames = new Set([...this.delegatedByKey.values()].flat());
+    const previousNames = this.delegatedNodeNamesByKey.get(change.key) ?? [];
+    if (record?.term === this.dependencies.fencingToken)
+      this.delegatedNodeNamesByKey.set(change.key, record.nodes);
+    else this.delegatedNodeNamesByKey.delete(change.key);
+    this.delegatedNodeNames = new Set([...this.delegatedNodeNamesByKey.values()].flat());
     for (const name of previousNames) {
-      const node = this.deps.clusterState.nodes.get(name);
-      // The proxy may have renewed its lease until just now.
-      if (node && !this.delegatedNames.has(name))
-        node.extendLease(leaseExpiryMs(this.deps.nowMs(), this.deps.leaseS));
+      const node = this.dependencies.clusterState.nodes.get(name);
+      // The proxy may have renewed the lease of this node until just now.
+      if (node && !this.delegatedNodeNames.has(name))
+        node.extendLease(leaseExpiryMs(this.dependencies.nowMs(), this.dependencies.leaseS));
     }
   }
 
   /** Whether a lease renewal proxy renews the node's lease. */
   isLeaseDelegated(node: Node): boolean {
-    return this.delegatedNames.size > 0 && this.delegatedNames.has(node.name);
+    return this.delegatedNodeNames.size > 0 && this.delegatedNodeNames.has(node.name);
   }
 
-  /** Starts a read of the state store if the node's lease has run out: a proxy may have renewed it. */
+  /**
+   * Starts a read of the state store if the node's lease seems to have expired, because a proxy may have renewed it.
+   */
   confirmLeaseExpiry(node: Node, nowMs: number): void {
     if (nowMs <= node.leaseExpiryMs || node.leaseExpiryMs === -Infinity) return;
-    if (this.leaseChecks.has(node) || this.isLeaseDelegated(node)) return;
-    this.leaseChecks.add(node);
+    if (this.pendingLeaseChecks.has(node) || this.isLeaseDelegated(node)) return;
+    this.pendingLeaseChecks.add(node);
     const { leaseExpiryMs } = node;
-    const { replica, leaseCheckCompleted } = this.deps;
+    const { replica, onLeaseCheckCompleted } = this.dependencies;
     replica.linearizableRead().then(
-      () => leaseCheckCompleted({ node, leaseExpiryMs, confirmed: true }),
-      () => leaseCheckCompleted({ node, leaseExpiryMs, confirmed: false }),
+      () => onLeaseCheckCompleted({ node, leaseExpiryMs, isConfirmed: true }),
+      () => onLeaseCheckCompleted({ node, leaseExpiryMs, isConfirmed: false }),
     );
   }
 
-  /** Releases all that was on the node if the expiry of its lease is confirmed. */
-  handleLeaseCheck({ node, leaseExpiryMs, confirmed }: LeaseCheckResult): void {
-    this.leaseChecks.delete(node);
-    if (!confirmed || this.isLeaseDelegated(node) || node.leaseExpiryMs !== leaseExpiryMs) return;
-    // Nobody answered it for the duration of a lease: its worker has killed all tasks.
-    if (node.attempts.size > 0) this.deps.log.info({ node: node.name }, 'node lease expired');
-    this.deps.clusterState.fenceIncarnation(node);
+  /** Releases all attempts on the node if the expiry of its lease is confirmed. */
+  handleLeaseCheckResult({ node, leaseExpiryMs, isConfirmed }: LeaseCheckResult): void {
+    this.pendingLeaseChecks.delete(node);
+    if (!isConfirmed || this.isLeaseDelegated(node) || node.leaseExpiryMs !== leaseExpiryMs) return;
+    // No controller answered the node for the duration of a lease, so its worker has killed all tasks.
+    if (node.attempts.size > 0) this.dependencies.log.info({ node: node.name }, 'node lease expired');
+    this.dependencies.clusterState.fenceIncarnation(node);
     node.expireLease();
     this.markReconciled(node);
-    this.deps.requestSchedulingCycle();
+    this.dependencies.requestSchedulingCycle();
   }
 }
