--- a/src/leader/throttled-task.ts
+++ b/src/leader/throttled-task.ts
@@ -1,56 +1,61 @@
-/** Throttles of recurring work: least intervals, and a bound on the share of the processor that the work takes. */
+/**
+ * Throttles for recurring work. They enforce a minimum interval between runs, and limit the share of processor time
+ * that the work takes.
+ */
 import type { Clock } from '@pumicehinge/runtime';
 
-/** How often a piece of work may run. */
+/** Limits how often a piece of work may run. */
 export interface ThrottleOptions {
-  /** ms: least time between the beginnings of two runs. */
+  /** Minimum time in milliseconds between the starts of two runs. */
   readonly minIntervalMs: number;
-  /** ratio: the next run begins at the earliest when this many times the duration of the last one has passed. */
+  /** Minimum time between the starts of two runs, as a multiple of the duration of the first of them. */
   readonly restRatio: number;
 }
 
-/** Tells whether a piece of work that runs as part of another may run again. */
+/** Tells whether a piece of work that runs as part of other work may run again. */
 export class Throttle {
-  private startedMs = -Infinity;
-  private durationMs = 0;
+  private lastStartMs = -Infinity;
+  private lastDurationMs = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly options: ThrottleOptions,
   ) {}
 
-  /** Steady ms before which the work may not run again. */
-  get earliestMs(): number {
-    return this.startedMs + Math.max(this.options.minIntervalMs, this.durationMs * this.options.restRatio);
+  /** Steady time in ms before which the work may not run again. */
+  get earliestNextRunMs(): number {
+    return (
+      this.lastStartMs + Math.max(this.options.minIntervalMs, this.lastDurationMs * this.options.restRatio)
+    );
   }
 
-  /** Whether the work may run at this steady ms. */
+  /** Whether the work may run at this steady time in ms. */
   isDue(nowMs: number): boolean {
-    return nowMs >= this.earliestMs;
+    return nowMs >= this.earliestNextRunMs;
   }
 
-  /** Runs the work with the steady ms of its beginning, and measures how long it takes. */
+  /** Runs the work, passes it the steady time in ms at which it starts, and measures how long it takes. */
   run(work: (nowMs: number) => void): void {
     const nowMs = this.clock.steadyMs();
-    this.startedMs = nowMs;
+    this.lastStartMs = nowMs;
     work(nowMs);
-    this.durationMs = this.clock.steadyMs() - nowMs;
+    this.lastDurationMs = this.clock.steadyMs() - nowMs;
   }
 }
 
 /**
- * Decides when a piece of work that many events request runs next: requests in between are merged into one run, and a
- * slow controller runs it less often, so that it never takes more than its share of the processor.
+ * Schedules a piece of work that many events request. All requests between two runs are merged into one run. A slow
+ * controller runs the work less often, so that it never takes more than its share of processor time.
  */
 export class ThrottledTask {
   private readonly throttle: Throttle;
   private cancelTimer: (() => void) | undefined;
-  private dueMs = Infinity;
+  private scheduledRunMs = Infinity;
 
   constructor(
     private readonly clock: Clock,
     options: ThrottleOptions,
-    /** The work is due; its owner calls `run` once its mailbox reaches the message. */
+    /** Called when the work is due. The owner sends itself a message, and calls `run` when it handles that message. */
     private readonly onDue: () => void,
   ) {
     this.throttle = new Throttle(clock, options);
@@ -58,20 +63,20 @@
 
   /** Requests a run as soon as the throttle allows one. */
   request(): void {
-    this.requestBy(Math.max(this.clock.steadyMs(), this.throttle.earliestMs));
+    this.requestBy(Math.max(this.clock.steadyMs(), this.throttle.earliestNextRunMs));
   }
 
-  /** Requests a run at this steady ms or before it. */
-  requestBy(atMs: number): void {
-    if (atMs >= this.dueMs) return;
+  /** Requests a run no later than this steady time in ms. */
+  requestBy(latestRunMs: number): void {
+    if (latestRunMs >= this.scheduledRunMs) return;
     this.cancelTimer?.();
-    this.dueMs = atMs;
-    this.cancelTimer = this.clock.after(atMs - this.clock.steadyMs(), this.onDue);
+    this.scheduledRunMs = latestRunMs;
+    this.cancelTimer = this.clock.after(latestRunMs - this.clock.steadyMs(), this.onDue);
   }
 
-  /** Runs the work, whether or not it is due, and measures it. */
+  /** Runs the work, whether or not it is due, and measures how long it takes. */
   run(work: (nowMs: number) => void): void {
-    this.dueMs = Infinity;
+    this.scheduledRunMs = Infinity;
     this.throttle.run(work);
   }
 
--- a/test/cluster/lease-rules.test.ts
+++ b/test/cluster/lease-rules.test.ts
@@ -3,8 +3,8 @@
 import {
   classifyHeartbeat,
   classifyUnlistedAttempt,
-  expiredDespiteResponse,
-  isNewer,
+  hasExpiredDespiteResponse,
+  isNewerHeartbeat,
   leaseExpiryMs,
   type HeartbeatFreshness,
   type KnownNode,
@@ -13,86 +13,95 @@
 } from '../../src/cluster/lease-rules.js';
 import type { WireInt } from '../../src/wire/json.js';
 
-test('a lease has certainly expired only after its length, the drift of clocks and a margin', () => {
+test('a lease has certainly expired only after its duration, the clock drift and a margin', () => {
   assert.ok(leaseExpiryMs(1000, 10) > 1000 + 10_000 * 1.0005);
 });
 
-test('the larger incarnation, then the larger sequence number, is the newer message', () => {
-  const big = 2n ** 63n;
+test('the message with the larger incarnation, then with the larger sequence number, is the newer one', () => {
+  const largeSequence = 2n ** 63n;
   const cases: [
     message: [number | bigint, number | bigint],
     seen: [number | bigint, number | bigint],
-    newer: boolean,
+    isNewer: boolean,
   ][] = [
     [[1, 5], [1, 4], true],
     [[1, 4], [1, 4], false],
     [[1, 3], [1, 4], false],
     [[2, 1], [1, 900], true],
     [[1, 900], [2, 1], false],
-    [[1, big], [1, 5], true],
-    [[1, big], [1, big + 1n], false],
+    [[1, largeSequence], [1, 5], true],
+    [[1, largeSequence], [1, largeSequence + 1n], false],
   ];
-  for (const [message, seen, newer] of cases)
+  for (const [message, seen, isNewer] of cases)
     assert.equal(
-      isNewer({ incarnation: message[0], sequence: message[1] }, { incarnation: seen[0], sequence: seen[1] }),
-      newer,
+      isNewerHeartbeat(
+        { incarnation: message[0], sequence: message[1] },
+        { incarnation: seen[0], sequence: seen[1] },
+      ),
+      isNewer,
     );
 });
 
-test('what it proves that a list lacks an attempt', () => {
-  const base: UnlistedAttempt = {
+test('the verdict on an attempt that is missing from a newer list of its worker', () => {
+  const baseAttempt: UnlistedAttempt = {
     state: 'sent',
-    sentSequence: 7,
+    startSentSequence: 7,
     directStart: 'none',
     source: 'heartbeat',
-    sequence: 8,
+    listSequence: 8,
   };
   const cases: [change: Partial<UnlistedAttempt>, verdict: UnlistedVerdict][] = [
     [{}, 'notExecuted'],
-    [{ sequence: 7 }, 'unknown'],
+    [{ listSequence: 7 }, 'unknown'],
     [{ state: 'planned' }, 'unknown'],
     [{ state: 'listed' }, 'gone'],
-    // The response to a direct command can overtake the response to a heartbeat (a scenario of hunt: ran_twice).
+    // The response to a direct command can overtake the response to a heartbeat. Tasks ran twice (rule `ran_twice`) when
+    // such a response counted as a proof.
     [{ source: 'commandResponse' }, 'unknown'],
     [{ directStart: 'pending' }, 'unknown'],
     [{ directStart: 'lost' }, 'resend'],
   ];
   for (const [change, verdict] of cases)
-    assert.equal(classifyUnlistedAttempt({ ...base, ...change }), verdict);
+    assert.equal(classifyUnlistedAttempt({ ...baseAttempt, ...change }), verdict);
 });
 
-test('what a heartbeat proves: only one that shows the fencing token of the term was preceded by a response', () => {
+test('only a heartbeat that shows the fencing token of the term proves that a response arrived', () => {
   const reconciled: KnownNode = { deleted: false, reconciled: true };
   const unreconciled: KnownNode = { deleted: false, reconciled: false };
   const deleted: KnownNode = { deleted: true, reconciled: false };
-  const cases: [token: WireInt, node: KnownNode, freshness: HeartbeatFreshness][] = [
+  const cases: [fencingToken: WireInt, node: KnownNode, freshness: HeartbeatFreshness][] = [
     [7, reconciled, 'current'],
     [7, unreconciled, 'current'],
-    // A copy of an earlier term's heartbeat, or of a new worker's: the token is shown, nothing is learned.
+    // A copy of a heartbeat from an earlier term, or a heartbeat of a new worker, proves nothing. The worker is only
+    // shown the token.
     [6, unreconciled, 'firstContact'],
     [0, unreconciled, 'firstContact'],
-    // One that showed the token already can't fall back: a late copy, or a worker that began anew.
+    // A node that has already shown the token cannot lose it. This is a late copy, or the worker was restarted.
     [6, reconciled, 'stale'],
-    // A node that was deleted stays deleted, whatever its copies show.
+    // A deleted node stays deleted, whatever copies of its heartbeats show.
     [7, deleted, 'stale'],
     [6, deleted, 'stale'],
-    // It obeys a later term, and would ignore the response while its lease counted as extended here.
+    // The worker obeys a later term. It would ignore the response, while its lease would count as extended here.
     [8, reconciled, 'stale'],
     [8n, unreconciled, 'stale'],
   ];
-  for (const [token, node, freshness] of cases) assert.equal(classifyHeartbeat(token, 7, node), freshness);
+  for (const [fencingToken, node, freshness] of cases)
+    assert.equal(classifyHeartbeat(fencingToken, 7, node), freshness);
 });
 
 test('an incarnation that ended although it was answered shows that responses do not arrive', () => {
-  const known = { incarnation: 1, sequence: 9 };
-  const cases: [incarnation: number, lastResponseMs: number, nowMs: number, expired: boolean][] = [
+  const lastKnown = { incarnation: 1, sequence: 9 };
+  const cases: [incarnation: number, lastResponseMs: number, nowMs: number, hasExpired: boolean][] = [
     [2, 9_000, 10_000, true],
-    // Not answered for long: it hung, or was cut off.
+    // The worker was not answered for a long time, because it hung or was partitioned.
     [2, 0, 10_000, false],
     [1, 9_000, 10_000, false],
   ];
-  for (const [incarnation, lastResponseMs, nowMs, expired] of cases) {
+  for (const [incarnation, lastResponseMs, nowMs, hasExpired] of cases) {
     const heartbeat = { incarnation, sequence: 10 };
-    assert.equal(expiredDespiteResponse({ heartbeat, known, lastResponseMs, nowMs, leaseS: 10 }), expired);
+    assert.equal(
+      hasExpiredDespiteResponse({ heartbeat, lastKnown, lastResponseMs, nowMs, leaseS: 10 }),
+      hasExpired,
+    );
   }
 });
--- a/test/cluster/node-health.test.ts
+++ b/test/cluster/node-health.test.ts
@@ -1,17 +1,22 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/cluster/worker-messages.js';
-import { clusterWithNode, healthOf, heartbeat, running } from '../support/cluster-fixture.js';
+import {
+  createClusterWithNode,
+  createNodeHealth,
+  createHeartbeat,
+  createRunningTask,
+} from '../support/cluster-fixture.js';
 
-test('responses without an effect: they do not reach the node', () => {
-  const { job, clusterState, reconciler, node } = clusterWithNode();
-  const health = healthOf(clusterState, { heartbeatIntervalS: 1, findJob: () => job });
+test('a node is unreachable after two responses without an effect, because responses do not reach it', () => {
+  const { job, clusterState, reconciler, node } = createClusterWithNode();
+  const health = createNodeHealth(clusterState, { heartbeatIntervalS: 1, findJob: () => job });
   node.markReconciled();
-  // Each step: the tasks that the heartbeat lists, and whether the node is schedulable after it.
+  // Each step has the tasks that the heartbeat lists, and tells whether the node is schedulable after it.
   const steps: [tasks: TaskStatus[], isSchedulable: boolean][] = [
     [[], true],
     [[], true],
-    [[running(0, 7)], true],
+    [[createRunningTask(0, 7)], true],
     [[], true],
     [[], true],
     [[], true],
@@ -19,7 +24,7 @@
   ];
   steps.forEach(([tasks, isSchedulable], step) => {
     if (node.attempts.size === 0) clusterState.planAttempt({ job, index: 0, number: 7, node }, step);
-    reconciler.apply(node, heartbeat(1, step + 1, tasks), 'heartbeat', step);
+    reconciler.apply(node, createHeartbeat(1, step + 1, tasks), 'heartbeat', step);
     assert.equal(health.isSchedulable(node, step), isSchedulable, `step ${step}`);
     assert.equal(health.isUnreachable(node, step), !isSchedulable, `step ${step}`);
     for (const attempt of node.attempts.values()) {
@@ -29,26 +34,32 @@
   });
 });
 
-test('how long a node is silent before it counts as lost: not while its worker may be turning to another controller', () => {
+test('a silent node does not count as lost while its worker may be switching to another controller', () => {
   const heartbeatIntervalS = 2;
-  // Nodes by the controller that relayed their heartbeats, how many of them fell silent, and after how many seconds one
-  // of them counts as lost; '': not heard in this term.
+  // Each case has the nodes by the controller that relayed their heartbeats, how many of these nodes fell silent, and
+  // after how many seconds one of them counts as lost. The empty controller name stands for nodes that sent no heartbeat
+  // in this term.
   const cases: [
     name: string,
     groups: Record<string, [total: number, silent: number]>,
     relayedBy: string,
     lostS: number,
   ][] = [
-    ['one of many', { a: [40, 1], b: [40, 0] }, 'a', 6],
-    ['those of one controller together', { a: [40, 30], b: [400, 0] }, 'a', 8.5],
-    ['another one of another controller', { a: [40, 30], b: [400, 1] }, 'b', 6],
-    ['the last ones that a new leader waits for', { a: [100, 0], '': [3, 3] }, '', 4.5],
-    ['many that a new leader waits for', { a: [100, 0], '': [20, 20] }, '', 8.5],
+    ['one of many nodes', { a: [40, 1], b: [40, 0] }, 'a', 6],
+    ['many nodes of one controller together', { a: [40, 30], b: [400, 0] }, 'a', 8.5],
+    [
+      'a node of another controller while those of the first are silent',
+      { a: [40, 30], b: [400, 1] },
+      'b',
+      6,
+    ],
+    ['the last nodes that a new leader waits for', { a: [100, 0], '': [3, 3] }, '', 4.5],
+    ['many nodes that a new leader waits for', { a: [100, 0], '': [20, 20] }, '', 8.5],
   ];
-  for (const [name, groups, relayedBy, lostS] of cases) {
-    const { clusterState, node: otherNode } = clusterWithNode();
+  for (const [name, nodesByController, relayedBy, expectedLostS] of cases) {
+    const { clusterState, node: otherNode } = createClusterWithNode();
     clusterState.removeNode(otherNode);
-    const health = healthOf(clusterState, { heartbeatIntervalS, findJob: () => undefined });
+    const health = createNodeHealth(clusterState, { heartbeatIntervalS, findJob: () => undefined });
     const description = {
       address: '',
       type: 't',
@@ -56,7 +67,7 @@
       spot: false,
       capacity: { cpus: 4, accelerators: 0, memGb: 4 },
     };
-    for (const [controller, [total, silent]] of Object.entries(groups))
+    for (const [controller, [total, silent]] of Object.entries(nodesByController))
       for (let i = 0; i < total; i++) {
         const node = clusterState.addNode({ name: `${controller}-${i}`, ...description }, 0);
         node.recordRelay(controller);
@@ -64,11 +75,11 @@
         if (controller !== '') node.recordHeartbeat(i < silent ? 0 : Infinity);
       }
     const node = clusterState.nodes.get(`${relayedBy}-0`)!;
-    let lost = 0;
-    for (let ms = 0; lost === 0 && ms < 20_000; ms += 100) {
-      health.evaluate(ms);
-      if (health.isUnreachable(node, ms)) lost = ms;
+    let lostMs = 0;
+    for (let nowMs = 0; lostMs === 0 && nowMs < 20_000; nowMs += 100) {
+      health.evaluateNodes(nowMs);
+      if (health.isUnreachable(node, nowMs)) lostMs = nowMs;
     }
-    assert.equal(lost / 1000, lostS + 0.1, name);
+    assert.equal(lostMs / 1000, expectedLostS + 0.1, name);
   }
 });
--- a/test/cluster/node-records.test.ts
+++ b/test/cluster/node-records.test.ts
@@ -13,42 +13,54 @@
 import type { CommitResult } from '../../src/state/transaction-batcher.js';
 
 test('a group of nodes written under larger limits is split when it is written again', () => {
-  const count = 50;
+  const nodeCount = 50;
   const nodeAddresses = new Map(
-    Array.from({ length: count }, (_, i) => [`vm-${100_000 + i}`, `10.10.${i}.200:9000`] as [string, string]),
+    Array.from(
+      { length: nodeCount },
+      (_, i) => [`vm-${100_000 + i}`, `10.10.${i}.200:9000`] as [string, string],
+    ),
   );
   const key = `${NODE_GROUPS_PREFIX}3-1`;
   const value = encodeNodeGroup({ type: 'm4-of-a-long-name', zone: 'east', spot: false, nodeAddresses });
-  const rows = new Map([[key, { key, value, modRevision: 7 }]]);
-  const writes: { conditions: Condition[]; operations: Operation[]; end: (result: CommitResult) => void }[] =
-    [];
+  const storedValues = new Map([[key, { key, value, modRevision: 7 }]]);
+  const writes: {
+    conditions: Condition[];
+    operations: Operation[];
+    complete: (result: CommitResult) => void;
+  }[] = [];
   const clusterState = new ClusterState({
     exited: () => undefined,
     released: () => undefined,
   });
   const records = new NodeRecords({
-    replica: { get: (k: string) => rows.get(k), listPrefix: () => rows.values() } as unknown as StateReplica,
-    term: 4,
+    replica: {
+      get: (requestedKey: string) => storedValues.get(requestedKey),
+      listPrefix: () => storedValues.values(),
+    } as unknown as StateReplica,
+    termNumber: 4,
     maxValueBytes: 1024,
     maxOperations: 4,
-    write: (conditions, operations) => new Promise((end) => writes.push({ conditions, operations, end })),
-    writeEnded: (end) => records.handleWriteResult(end),
+    commit: (conditions, operations) =>
+      new Promise((resolve) => writes.push({ conditions, operations, complete: resolve })),
+    onWriteEnded: (result) => records.handleWriteResult(result),
   });
-  const loaded = [...records.load(clusterState, () => ({ cpus: 4, accelerators: 0, memGb: 16 }), 0).keys()];
-  assert.equal(loaded.length, count);
-  records.remove(loaded[0]!);
+  const loadedNodes = [
+    ...records.load(clusterState, () => ({ cpus: 4, accelerators: 0, memGb: 16 }), 0).keys(),
+  ];
+  assert.equal(loadedNodes.length, nodeCount);
+  records.remove(loadedNodes[0]!);
   records.flush(1_000);
-  const names = (operations: Operation[]): string[] =>
-    operations.flatMap((o) => [...decodeNodeGroup(o.value)!.nodeAddresses.keys()]);
-  const expected = [...nodeAddresses.keys()].slice(1);
-  // All in one transaction, each node once, each value small enough.
+  const collectNodeNames = (operations: Operation[]): string[] =>
+    operations.flatMap((operation) => [...decodeNodeGroup(operation.value)!.nodeAddresses.keys()]);
+  const expectedNames = [...nodeAddresses.keys()].slice(1);
+  // One transaction writes all groups, each node is in it once, and each value is small enough.
   assert.equal(writes.length, 1);
-  assert.deepEqual(names(writes[0]!.operations), expected);
+  assert.deepEqual(collectNodeNames(writes[0]!.operations), expectedNames);
   assert.equal(writes[0]!.operations.length, 4);
   for (const { value: part } of writes[0]!.operations)
     assert.ok(encodedBytes(part) <= 1024, `${encodedBytes(part)}`);
   assert.deepEqual(
-    writes[0]!.conditions.map((c) => c.modRevision),
+    writes[0]!.conditions.map((condition) => condition.modRevision),
     [7, 0, 0, 0],
   );
 });
--- a/test/cluster/pending-commands.test.ts
+++ b/test/cluster/pending-commands.test.ts
@@ -1,44 +1,54 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/cluster/worker-messages.js';
-import { clusterWithNode, commandsFor, heartbeat, running } from '../support/cluster-fixture.js';
+import {
+  createClusterWithNode,
+  listCommands,
+  createHeartbeat,
+  createRunningTask,
+} from '../support/cluster-fixture.js';
 
-test('a second attempt of an allocated task takes resources and is stopped; the first stays', () => {
-  const { job, clusterState, reconciler, node } = clusterWithNode();
-  reconciler.apply(node, heartbeat(1, 1, [running(0, 7), running(0, 8)]), 'heartbeat', 0);
+test('a second attempt of an allocated task takes resources and is stopped, and the first one remains', () => {
+  const { job, clusterState, reconciler, node } = createClusterWithNode();
+  reconciler.apply(
+    node,
+    createHeartbeat(1, 1, [createRunningTask(0, 7), createRunningTask(0, 8)]),
+    'heartbeat',
+    0,
+  );
   assert.equal(job.allocations.get(0)!.number, 7);
   assert.equal(clusterState.usage('red').cpus, 4);
-  const commands = commandsFor(node).map(({ kind, attempt }) => `${kind} ${attempt}`);
+  const commands = listCommands(node).map(({ kind, attempt }) => `${kind} ${attempt}`);
   assert.deepEqual(commands, ['stop 8']);
 });
 
 test('an exit is acknowledged only once the completion is stored', () => {
-  const { job, reconciler, node, exits } = clusterWithNode();
-  const completed: TaskStatus = { ...running(0, 7), state: 'exited', cause: 'completed' };
-  reconciler.apply(node, heartbeat(1, 1, [completed]), 'heartbeat', 0);
+  const { job, reconciler, node, exits } = createClusterWithNode();
+  const completed: TaskStatus = { ...createRunningTask(0, 7), state: 'exited', cause: 'completed' };
+  reconciler.apply(node, createHeartbeat(1, 1, [completed]), 'heartbeat', 0);
   assert.deepEqual(exits, ['0 completed']);
-  assert.deepEqual(commandsFor(node), []);
+  assert.deepEqual(listCommands(node), []);
   job.completeTask(0);
   job.persistence.completeWrite(job.beginWrite(1), 2);
-  const commands = commandsFor(node).map(({ kind }) => kind);
+  const commands = listCommands(node).map(({ kind }) => kind);
   assert.deepEqual(commands, ['acknowledge']);
 });
 
 test('a start is withdrawn only when it certainly was not and will not be executed', () => {
-  const { job, clusterState, reconciler, node, released } = clusterWithNode();
-  reconciler.apply(node, heartbeat(1, 1), 'heartbeat', 0);
+  const { job, clusterState, reconciler, node, released } = createClusterWithNode();
+  reconciler.apply(node, createHeartbeat(1, 1), 'heartbeat', 0);
   const attempt = clusterState.planAttempt({ job, index: 0, number: 7, node }, 0);
   attempt.markStartSent(1, 0);
   attempt.endDirectStart('lost');
-  reconciler.apply(node, heartbeat(1, 2), 'heartbeat', 10);
+  reconciler.apply(node, createHeartbeat(1, 2), 'heartbeat', 10);
   assert.equal(attempt.state, 'planned');
-  // It may still arrive: it stays allocated even though it is no longer wanted.
+  // The start command may still arrive, so the attempt stays allocated even though it is no longer wanted.
   attempt.requestStop(0);
-  reconciler.apply(node, heartbeat(1, 3), 'heartbeat', 20);
+  reconciler.apply(node, createHeartbeat(1, 3), 'heartbeat', 20);
   assert.equal(job.allocations.size, 1);
-  const commands = commandsFor(node).map(({ kind }) => kind);
+  const commands = listCommands(node).map(({ kind }) => kind);
   assert.deepEqual(commands, ['stop']);
-  reconciler.apply(node, heartbeat(2, 1), 'heartbeat', 30);
+  reconciler.apply(node, createHeartbeat(2, 1), 'heartbeat', 30);
   assert.equal(job.allocations.size, 0);
   assert.deepEqual(released, [attempt]);
 });
--- a/test/leader/job-store.test.ts
+++ b/test/leader/job-store.test.ts
@@ -10,12 +10,12 @@
 import type { TransactionBatcher, CommitResult } from '../../src/state/transaction-batcher.js';
 import { jobSpec } from '../fixtures.js';
 
-/** A store of one large job array, over a state service that is a map. */
-function setUp() {
+/** Creates a job store with one large job array. Its state store is a map. */
+function createJobStoreFixture() {
   const tasks = COMPLETION_SEGMENT_TASKS * 2;
-  const rows = new Map<string, KeyValue>();
+  const storedValues = new Map<string, KeyValue>();
   const put = (key: string, value: unknown, modRevision: number): void =>
-    void rows.set(key, { key, value, modRevision });
+    void storedValues.set(key, { key, value, modRevision });
   const key = jobKey('job-000001');
   const record = {
     phase: 'open' as const,
@@ -25,55 +25,75 @@
     memberStates: 'E',
   };
   put(key, encodeJob({ ...record, successor: false, completed: '' }), 5);
-  const writes: { conditions: Condition[]; operations: Operation[]; end: (result: CommitResult) => void }[] =
-    [];
-  const refreshed: string[] = [];
+  const writes: {
+    conditions: Condition[];
+    operations: Operation[];
+    complete: (result: CommitResult) => void;
+  }[] = [];
+  const refreshedKeys: string[] = [];
   const store = new JobStore({
     replica: {
-      get: (k: string) => rows.get(k),
-      listPrefix: (prefix: string) => (prefix === JOBS_PREFIX ? [rows.get(key)!] : []),
+      get: (requestedKey: string) => storedValues.get(requestedKey),
+      listPrefix: (prefix: string) => (prefix === JOBS_PREFIX ? [storedValues.get(key)!] : []),
     } as unknown as StateReplica,
     commit: createCommitInTerm({ leaderKeyRevision: 2 }, {
       commit: (conditions: Condition[], operations: Operation[]) =>
-        new Promise<CommitResult>((end) => writes.push({ conditions, operations, end })),
+        new Promise<CommitResult>((resolve) => writes.push({ conditions, operations, complete: resolve })),
     } as unknown as TransactionBatcher),
     objectives: [],
     maxOperations: 12,
     wallMs: () => 0,
     log: pino({ level: 'silent' }),
-    writeCompleted: (end) => store.handleWriteResult(end),
-    refresh: (k) => refreshed.push(k),
-    jobCancelled: () => undefined,
+    onWriteCompleted: (result) => store.handleWriteResult(result),
+    requestRefresh: (refreshedKey) => refreshedKeys.push(refreshedKey),
+    onJobCancelled: () => undefined,
   });
-  /** Whether the conditions of a write hold now. */
+  /** Whether all conditions of a write hold for the values that are stored now. */
   const conditionsHold = (conditions: Condition[]): boolean =>
-    conditions.every((c) => c.key === 'ph/leader' || (rows.get(c.key)?.modRevision ?? 0) === c.modRevision);
-  return { store, job: store.jobs.get('job-000001')!, writes, rows, put, key, refreshed, conditionsHold };
+    conditions.every(
+      (condition) =>
+        condition.key === 'ph/leader' ||
+        (storedValues.get(condition.key)?.modRevision ?? 0) === condition.modRevision,
+    );
+  return {
+    store,
+    job: store.jobs.get('job-000001')!,
+    writes,
+    storedValues,
+    put,
+    key,
+    refreshedKeys,
+    conditionsHold,
+  };
 }
 
 test('a write without a response that is applied late does not keep later writes from being stored', async () => {
-  const { store, job, writes, put, key, refreshed, rows, conditionsHold } = setUp();
+  const { store, job, writes, put, key, refreshedKeys, storedValues, conditionsHold } =
+    createJobStoreFixture();
   job.completeTask(COMPLETION_SEGMENT_TASKS + 3);
   store.persist(job);
-  writes[0]!.end({ outcome: 'unclear' });
+  writes[0]!.complete({ outcome: 'unclear' });
   await Promise.resolve();
   await Promise.resolve();
-  // Not applied yet by the time it is read: it is written again, while the first write is still on its way.
-  assert.deepEqual(refreshed, [key]);
-  store.applyChange({ key, value: rows.get(key)!.value, modRevision: 5 });
+  // The first write is not applied yet when the job is read again, so a second write starts while the first one is
+  // still in transit.
+  assert.deepEqual(refreshedKeys, [key]);
+  store.applyChange({ key, value: storedValues.get(key)!.value, modRevision: 5 });
   store.persist(job);
   assert.ok(conditionsHold(writes[1]!.conditions));
-  for (const { key: changed, value } of writes[0]!.operations) put(changed, value, 9);
+  for (const { key: changedKey, value } of writes[0]!.operations) put(changedKey, value, 9);
   assert.ok(!conditionsHold(writes[1]!.conditions));
-  writes[1]!.end({ outcome: 'conflict' });
+  writes[1]!.complete({ outcome: 'conflict' });
   await Promise.resolve();
   await Promise.resolve();
-  // The watch delivers the job before its segment; the refresh that was requested comes after both.
-  store.applyChange({ key, value: rows.get(key)!.value, modRevision: 9 });
+  // The watch delivers the job before its segment. The refresh that was requested comes after both.
+  store.applyChange({ key, value: storedValues.get(key)!.value, modRevision: 9 });
   job.completeTask(COMPLETION_SEGMENT_TASKS + 4);
   store.persist(job);
   assert.ok(conditionsHold(writes[2]!.conditions), 'the revision of the segment is not known');
-  const segment = writes[2]!.operations.find((o) => o.key === completionSegmentKey('job-000001', 1));
+  const segment = writes[2]!.operations.find(
+    (operation) => operation.key === completionSegmentKey('job-000001', 1),
+  );
   assert.ok(segment);
   assert.ok(job.persistence.isCompletionPersisted(COMPLETION_SEGMENT_TASKS + 3));
 });
--- a/test/support/cluster-fixture.ts
+++ b/test/support/cluster-fixture.ts
@@ -1,4 +1,4 @@
-/** A cluster of one node and one job, as the tests of the cluster's parts set it up. */
+/** A cluster with one node and one job for the tests of `src/cluster`. */
 import { ClusterState, type Attempt, type Node } from '../../src/cluster/cluster-state.js';
 import { HeartbeatReconciler } from '../../src/cluster/heartbeat-reconciler.js';
 import { NodeHealth, type NodeHealthDependencies } from '../../src/cluster/node-health.js';
@@ -7,12 +7,12 @@
 import { Job } from '../../src/pipeline/job.js';
 import { jobSpec } from '../fixtures.js';
 
-/** s: the workers' lease in these tests. */
+/** Duration of the workers' lease in these tests, in seconds. */
 export const LEASE_S = 10;
 
 const JOB_UID = 'job-000001';
 const NODE_NAME = 'vm-1';
-const NODE = { address: 'a:1', type: 'small', zone: 'a', spot: false };
+const NODE_DESCRIPTION = { address: 'a:1', type: 'small', zone: 'a', spot: false };
 
 function createJob(): Job<Attempt> {
   const spec = jobSpec();
@@ -28,8 +28,11 @@
   return new Job<Attempt>({ uid: JOB_UID, record, spec, modRevision: 1, objectives: [] });
 }
 
-/** A table with one node, `vm-1`, and a job of four tasks; `exits` and `released` collect the events of the table. */
-export function clusterWithNode() {
+/**
+ * Creates a cluster state with one node, `vm-1`, and a job of four tasks. `exits` and `released` collect the events of the
+ * cluster state.
+ */
+export function createClusterWithNode() {
   const job = createJob();
   const released: Attempt[] = [];
   const exits: string[] = [];
@@ -43,20 +46,20 @@
     findJob: (uid) => (uid === job.uid ? job : undefined),
   });
   const node = clusterState.addNode(
-    { name: NODE_NAME, ...NODE, capacity: { cpus: 8, accelerators: 0, memGb: 64 } },
+    { name: NODE_NAME, ...NODE_DESCRIPTION, capacity: { cpus: 8, accelerators: 0, memGb: 64 } },
     0,
   );
   return { job, clusterState, reconciler, node, released, exits };
 }
 
-/** A heartbeat of the node `vm-1`. */
-export function heartbeat(
+/** Creates a heartbeat of the node `vm-1`. */
+export function createHeartbeat(
   incarnation: number,
   sequence: number,
   tasks: readonly TaskStatus[] = [],
 ): Heartbeat {
   return {
-    ...NODE,
+    ...NODE_DESCRIPTION,
     node: NODE_NAME,
     incarnation,
     sequence,
@@ -66,28 +69,28 @@
   };
 }
 
-/** A running task of the job, as its worker lists it. */
-export const running = (index: number, attempt: number): TaskStatus => ({
+/** Creates a running task of the job, as its worker lists it. */
+export const createRunningTask = (index: number, attempt: number): TaskStatus => ({
   job: JOB_UID,
   index,
   attempt,
   state: 'running',
 });
 
-/** All commands for the node, with any start allowed. */
-export const commandsFor = (node: Node) =>
+/** Lists all pending commands for the node, with every start allowed. */
+export const listCommands = (node: Node) =>
   [...pendingCommands(node, () => true)].map(({ command }) => command);
 
-/** Node health from the beginning of a term, without partitions and delegated leases. */
-export function healthOf(
+/** Creates the node health of a term that begins at 0 ms, without partitions and delegated leases. */
+export function createNodeHealth(
   clusterState: ClusterState,
   options: Pick<NodeHealthDependencies, 'heartbeatIntervalS' | 'findJob'>,
 ): NodeHealth {
   return new NodeHealth({
     clusterState,
     ...options,
-    termStartedMs: 0,
-    instanceTypeOf: () => undefined,
+    termStartMs: 0,
+    findInstanceType: () => undefined,
     isLeaseDelegated: () => false,
     isZoneUnreachable: () => false,
   });
