--- a/src/cluster/attempt.ts
+++ b/src/cluster/attempt.ts
@@ -53,7 +53,9 @@
   /** State of the call that sends the start command directly to the worker. */
   readonly directStart: DirectStartState;
 
-  /** Records that a start command was sent, in the response to the heartbeat with this sequence number or later. */
+  /**
+   * Records that a start command was sent with the response to the heartbeat of this sequence number, or after it.
+   */
   markStartSent(sequence: WireInt, nowMs: number): void;
   /**
    * Returns the attempt to `planned`, because its start command was certainly not executed or may safely be sent
--- a/src/cluster/cluster-state.ts
+++ b/src/cluster/cluster-state.ts
@@ -27,12 +27,12 @@
   released(attempt: Attempt): void;
 }
 
-/** A start of a task that the scheduler has decided. */
+/** A task start that the scheduler has decided on. */
 export interface PlannedStart {
   readonly job: Job;
   /** Index of the task within its job, starting at 0. */
   readonly index: number;
-  /** The attempt's number, which no other attempt has. */
+  /** The number of the attempt, which is unique among all attempts. */
   readonly number: WireInt;
   readonly node: Node;
 }
@@ -65,7 +65,10 @@
     return this.nodeCountsByZone;
   }
 
-  /** The nodes on which processors or accelerators are free. In a large cluster most nodes are full. */
+  /**
+   * The nodes on which processors or accelerators are free. Most nodes of a large cluster are full and not among
+   * them.
+   */
   get nodesWithFreeCapacity(): ReadonlySet<Node> {
     return this.freeCapacityNodes;
   }
--- a/src/cluster/node-group.ts
+++ b/src/cluster/node-group.ts
@@ -56,7 +56,7 @@
   }
 
   /** Returns the nodes that may hold tasks. */
-  usedNodes(): Node[] {
+  listUsedNodes(): Node[] {
     return this.entries()
       .filter(([, isUsed]) => isUsed)
       .map(([node]) => node);
--- a/src/cluster/node-records.ts
+++ b/src/cluster/node-records.ts
@@ -122,7 +122,10 @@
     }
   }
 
-  /** Returns the time in ms until a changed group may be written. Infinity if no group has changed. */
+  /**
+   * Returns the time in ms until a changed group may be written. Groups with a write in progress do not count.
+   * Infinity if no other group has changed.
+   */
   computeFlushDelayMs(nowMs: number): number {
     let delayMs = Infinity;
     for (const group of this.changedGroups)
@@ -150,7 +153,7 @@
   private writeGroup(group: NodeGroup, nowMs: number): void {
     group.beginWrite(nowMs);
     const { key } = group;
-    const usedNodes = group.usedNodes();
+    const usedNodes = group.listUsedNodes();
     const stored = this.dependencies.replica.get(key);
     const value = group.toStoredValue();
     if (!stored && value === undefined) {
@@ -192,7 +195,7 @@
         part.add(node, isUsed);
         this.groupByNode.set(node, part);
       }
-      return { group: part, usedNodes: part.usedNodes() };
+      return { group: part, usedNodes: part.listUsedNodes() };
     });
     const operations = parts.map((part) => ({ key: part.group.key, value: part.group.encode() }));
     const conditions = parts.map((part, index) => ({
