--- a/src/constants.ts
+++ b/src/constants.ts
@@ -1,6 +1,6 @@
 /**
- * Every constant of the service, with unit and reason, by concern. Limits of a deployment (rates, leases, sizes) are not
- * here: they come from the settings.
+ * Re-exports all constants of the service, which are grouped into one module per subject. The limits of a deployment
+ * (rates, leases, sizes) are not constants: they come from the settings.
  */
 export * from './constants/http.js';
 export * from './constants/users.js';
--- a/src/constants/cloud.ts
+++ b/src/constants/cloud.ts
@@ -1,39 +1,55 @@
-/** The cloud: calls, instances and their interruptions. */
+/** Constants for calls to the cloud, and for instances and their boot times. */
 
-/** share of the cloud's request rate that the leader uses. */
+/** The leader uses this share of the cloud's request rate. */
 export const CLOUD_RATE_SHARE = 0.8;
 /**
- * shares of the above, where the holders of leased roles call the cloud instead of the leader: of the leader, for its
- * lists, and of each role. They add up to 1; launches are what work waits for.
+ * If the holders of controller roles launch and terminate instances in place of the leader, the usable request rate is
+ * split into these shares: one for the leader, which reads the instance list and the catalog, and one for each role.
+ * The shares add up to 1. The launches have the largest share because waiting work depends on them.
  */
 export const DELEGATED_CLOUD_SHARES = { leader: 0.3, rent: 0.45, return: 0.125, reclaim: 0.125 };
-/** share of the leader's part of the above for reading the list: all but the catalog. */
+/**
+ * If roles are delegated, the leader uses this share of its own rate to read the instance list; the catalog uses the
+ * rest.
+ */
 export const DELEGATED_LIST_SHARE = 0.8;
-/** ms: a call to the cloud. */
+/** Timeout of a call to the cloud, in milliseconds. */
 export const CLOUD_CALL_TIMEOUT_MS = 5_000;
-/** ms: added to twice the lag of the instance list before a node that it does not hold counts as missing. */
+/**
+ * Margin, in milliseconds, on top of twice the lag of the instance list, before a node that is not listed counts as
+ * missing.
+ */
 export const INSTANCE_LIST_MARGIN_MS = 1_000;
-/** ms: between two readings of the instance list. */
+/** Interval between two reads of the instance list, in milliseconds. */
 export const LIST_INTERVAL_MS = 4_000;
-/** share of that rate for reading the list; one of thousands of instances takes many requests. */
+/**
+ * If no roles are delegated, the leader uses this share of its rate to read the instance list. A list of thousands of
+ * instances takes many requests.
+ */
 export const LIST_RATE_SHARE = 0.35;
-/** ms: between two readings of the catalog (spot prices move). */
+/** Interval between two reads of the catalog, in milliseconds. Spot prices change over time. */
 export const CATALOG_INTERVAL_MS = 30_000;
-/** instances: most in one launch request (protocol). */
+/** The protocol allows at most this many instances in one launch request. */
 export const MAX_INSTANCES_PER_LAUNCH = 50;
-/** instances: most in one termination request (protocol). */
+/** The protocol allows at most this many instances in one termination request. */
 export const MAX_INSTANCES_PER_TERMINATION = 100;
-/** instances: per page of the instance list (protocol). */
+/** Number of instances per page of the instance list, as defined by the protocol. */
 export const LIST_PAGE = 500;
-/** ms: an offering of which there were no more instances is not requested again before this. */
+/** Backoff, in milliseconds, before an offering that had no capacity left is requested again. */
 export const OFFERING_UNAVAILABLE_MS = 10_000;
-/** ms: an offering that was refused by a fault of the cloud is not requested again before this; faults pass sooner. */
+/**
+ * Backoff, in milliseconds, before an offering is requested again after a fault of the cloud. Faults pass sooner than a
+ * lack of capacity.
+ */
 export const OFFERING_FAULT_RETRY_MS = 2_500;
-/** ratio to the on-demand price at which spot instances count for a job that avoids them: only where there are no others. */
+/**
+ * For a job that avoids spot instances, a spot instance is priced at this multiple of the on-demand price. Such a job
+ * therefore gets spot instances only where no on-demand instances are available.
+ */
 export const AVOIDED_SPOT_PRICE_RATIO = 2;
-/** ratio of the catalog's boot time after which a booting node counts as stuck. */
+/** A booting node counts as stuck after this multiple of the boot time in the catalog. */
 export const STUCK_BOOT_RATIO = 3;
-/** ms: least time before a booting node counts as stuck. */
+/** Minimum time, in milliseconds, before a booting node counts as stuck. */
 export const STUCK_BOOT_MIN_MS = 45_000;
-/** s: boot time of an instance type that the catalog doesn't have. */
+/** Assumed boot time, in seconds, of an instance type that is not in the catalog. */
 export const BOOT_TIME_FALLBACK_S = 60;
--- a/src/constants/election-and-peers.ts
+++ b/src/constants/election-and-peers.ts
@@ -1,88 +1,137 @@
-/** election and peers */
+/**
+ * Constants for leader election, lease votes, lease renewal proxies, relays and the connections between controllers.
+ */
 
-/** ms: time to live of the leader's lease; short, as workers' leases run on while nobody leads. */
+/**
+ * Time to live of the leader's lease, in milliseconds. It is short because the leases of workers run on while there is
+ * no leader.
+ */
 export const LEADER_LEASE_TTL_MS = 3_000;
-/** ms: between renewals of the leader's lease: several attempts fit into its time to live. */
+/** Interval between renewals of the leader's lease, in milliseconds. Several attempts fit into the time to live. */
 export const LEADER_LEASE_RENEWAL_MS = 700;
-/** ms: subtracted from the end of an authority, for pauses between check and send. */
+/** The leader's authority ends this many milliseconds early, to allow for pauses between a check and a send. */
 export const AUTHORITY_MARGIN_MS = 250;
-/** ratio: steady clocks of two machines drift apart by at most 0.05%; twice that is assumed. */
+/**
+ * Assumed maximum ratio by which the steady clocks of two machines drift apart. The clocks drift apart by at most
+ * 0.05%, and twice that is assumed.
+ */
 export const CLOCK_DRIFT = 0.001;
 /**
- * ms: for which a lease vote keeps a peer from campaigning, when neither it nor the leader reaches the state service. Short, as
- * a restarted controller has to wait for its end.
+ * Duration of a lease vote, in milliseconds. For this long the voter does not campaign, because neither the voter nor
+ * the leader reaches the state store. It is short because a restarted controller has to wait until the vote has ended.
  */
 export const LEASE_VOTE_MS = 1_500;
-/** ms: on top of the chain from a confirmed cancellation to its last task's end: watch of leases, late timers. */
+/**
+ * Margin, in milliseconds, on top of the longest time from a confirmed cancellation to the end of the job's last task.
+ * It covers the delay until an expired lease is noticed, and late timers.
+ */
 export const CANCELLATION_MARGIN_MS = 1_000;
-/** ms: age of the cancellation watermark up to which a leader that is served starts tasks; a watch may take that long. */
+/**
+ * A leader that the state store serves starts tasks only while its cancellation watermark is younger than this, in
+ * milliseconds. A watch may take that long.
+ */
 export const START_CANCELLATION_LAG_MS = 5_000;
-/** count: entries that a cancellation log keeps at least, and half of the most. A leader lacks seconds' worth. */
+/**
+ * Number of most recent entries that a cancellation log always keeps, and half of the maximum number of entries. A
+ * leader that catches up only lacks the entries of a few seconds.
+ */
 export const CANCELLATION_LOG_ENTRIES = 1_000;
-/** count: random numbers of cancellation logs; two processes never draw the same. */
+/** Number of possible cancellation log ids. It is so large that no two processes draw the same id at random. */
 export const CANCELLATION_LOG_IDS = 2 ** 48;
-/** bytes: on the safe side, of the key and revision of a job that is sent with a lease vote. */
+/** Upper bound, in bytes, for the key and revision of a job that is sent with a lease vote. */
 export const KEY_VALUE_OVERHEAD_BYTES = 256;
-/** ms: between two rounds of lease votes. */
+/** Interval between two rounds of lease vote requests, in milliseconds. */
 export const LEASE_VOTE_REQUEST_MS = 350;
-/** ms: after the end of its lease vote before a voter may campaign. */
+/** After its lease vote has ended, a voter waits this many milliseconds before it may campaign. */
 export const LEASE_VOTE_MARGIN_MS = 200;
-/** ms: without an answer of the state service to a probe before a lease vote is granted; an answer takes under 10 ms as a rule. */
+/**
+ * A lease vote is granted once a probe of the state store has been unanswered for this many milliseconds. An answer
+ * usually takes less than 10 ms.
+ */
 export const STATE_PROBE_TIMEOUT_MS = 300;
-/** ms: longest random pause before a campaign, so that two candidates seldom collide. */
+/** Maximum random delay before a campaign, in milliseconds. It makes collisions between two candidates rare. */
 export const CAMPAIGN_JITTER_MS = 150;
-/** ms: by which a controller in a zone with nearly no nodes campaigns later. */
+/** A controller in a zone with few or no nodes delays its campaign by this many milliseconds. */
 export const REMOTE_CAMPAIGN_DELAY_MS = 400;
-/** ratio to the nodes of the largest zone, up to which a zone counts as remote from the nodes. */
+/** A zone counts as remote from the nodes if it has at most this share of the number of nodes of the largest zone. */
 export const REMOTE_ZONE_NODE_SHARE = 0.2;
-/** ms: between two leadership transfers by one controller; each stops new starts for a moment. */
+/**
+ * Minimum interval, in milliseconds, between two leadership transfers by the same controller. Each transfer briefly
+ * stops the start of tasks.
+ */
 export const LEADERSHIP_TRANSFER_INTERVAL_MS = 60_000;
-/** nodes: fewer say nothing about where the nodes are, or whether they are cut off. */
+/**
+ * With fewer nodes than this, no conclusion is drawn about which zones the nodes are in or whether they are
+ * partitioned.
+ */
 export const MIN_NODES_TO_JUDGE = 3;
-/** ratio of the nodes that fell silent together above which the leader takes itself for partitioned from them. */
+/** If more than this share of the nodes falls silent together, the leader considers itself partitioned from them. */
 export const PARTITIONED_NODES_SHARE = 0.6;
-/** ms: a term lasts at least this long before its leader judges so. */
+/**
+ * A term must last at least this many milliseconds before its leader may consider itself partitioned from the nodes.
+ */
 export const PARTITION_CHECK_AFTER_MS = 10_000;
 /**
- * ms: a term lasts at least this long before a leadership transfer. Right after a crash the jobs have only just been
- * reconciled, and a second change of leader would delay them once more; relays make a remote leader bearable.
+ * A term must last at least this many milliseconds before a leadership transfer. Right after a crash the jobs have only
+ * just been reconciled, and another change of leader would delay them again. Relays limit the cost of a remote leader.
  */
 export const LEADERSHIP_TRANSFER_MIN_TERM_MS = 20_000;
-/** controllers: of a zone that must relay before the leader redirects workers there; a single one would get all. */
+/**
+ * The leader redirects workers of a zone only if at least this many controllers of the zone relay heartbeats. A single
+ * one would receive the heartbeats of all workers.
+ */
 export const MIN_RELAYS_FOR_REDIRECT = 2;
-/** ms: a term lasts at least this long before its leader redirects workers; at first their leases are near expiry. */
+/**
+ * A term must last at least this many milliseconds before its leader redirects workers. At the beginning of a term the
+ * workers' leases are close to their expiry.
+ */
 export const REDIRECT_AFTER_TERM_START_MS = 20_000;
-/** ms: least time before the same worker is redirected again. */
+/** Minimum time, in milliseconds, before the same worker is redirected again. */
 export const REDIRECT_REPEAT_INTERVAL_MS = 60_000;
-/** ms: for which a peer must have been alive before a leadership transfer to it, and for which who stepped down does not campaign. */
+/**
+ * After it stepped down, a controller does not campaign for this many milliseconds. The successor must have been alive
+ * for the same time before the transfer.
+ */
 export const STEP_DOWN_PAUSE_MS = 5_000;
-/** ms: without a message from the leader before a controller renews the leases of workers by proxy. */
+/** A controller renews leases of workers by proxy after this many milliseconds without a message from the leader. */
 export const LEASE_PROXY_ACTIVATION_MS = 2_000;
-/** ms: for which a lease renewal proxy relies on a read of the state service; a new leader waits this out as well. */
+/**
+ * A lease renewal proxy relies on a read of the state store for this many milliseconds. A new leader waits this out
+ * too.
+ */
 export const LEASE_PROXY_READ_VALIDITY_MS = 1_000;
 /**
- * ms: after a heartbeat was forwarded, for which the leader's response may be passed on to the worker. The leader counts
- * the worker's lease from the end of this time, and a new leader waits it out as well.
+ * The leader's response to a relayed heartbeat may be passed on to the worker for this many milliseconds after the
+ * heartbeat was forwarded. The leader counts the worker's lease from the end of this time. A new leader waits it out
+ * too.
  */
 export const RELAY_RESPONSE_VALIDITY_MS = 1_500;
 /**
- * ms: for which a heartbeat waits for the leader or a lease renewal proxy; workers give up after 4 s and turn to another
- * controller.
+ * A heartbeat waits at most this many milliseconds for the leader or a lease renewal proxy. Workers give up after 4 s
+ * and turn to another controller.
  */
 export const RELAY_TIMEOUT_MS = 3_000;
-/** ms: between two reviews of the heartbeats that the leader has not answered. */
+/** Interval, in milliseconds, between two reviews of the heartbeats that the leader has not answered. */
 export const RELAY_RETRY_INTERVAL_MS = 200;
-/** count: request ids from which a relay process picks its first at random, so that no two processes share ids. */
+/** A relay draws its first request id at random from this many, so that no two relay processes use the same ids. */
 export const RELAY_ID_RANGE = 2 ** 52;
-/** ms: between two checks whether delegated leases can go back to the leader. */
+/** Interval, in milliseconds, between two checks whether delegated leases can be returned to the leader. */
 export const LEASE_PROXY_CHECK_INTERVAL_MS = 500;
-/** ms: after which a lost direct start of an ended job is fenced by a new term. */
+/**
+ * If a start command that was sent directly to a worker was lost, and its job has ended, the leader begins a new term
+ * this many milliseconds after the command was sent. The new fencing token keeps the worker from executing the command.
+ */
 export const LOST_START_FENCING_DELAY_MS = 8_000;
-/** ms: between two heartbeats to each peer; status and counts are sent as often. */
+/**
+ * Interval between two heartbeats to each peer, in milliseconds. Status and task counts are sent at the same interval.
+ */
 export const PEER_HEARTBEAT_MS = 700;
-/** bytes: largest frame between controllers. */
+/** Maximum size of a frame between controllers, in bytes. */
 export const MAX_PEER_FRAME_BYTES = 1024 * 1024;
-/** ms: pause before a peer is dialled again; a connection that lasted this long is dialled again at once. */
+/**
+ * Delay, in milliseconds, before a controller connects to a peer again. If the previous connection lasted at least this
+ * long, the controller reconnects immediately.
+ */
 export const PEER_RECONNECT_MS = 1_000;
-/** ms: a connection attempt to a peer, or a connection on which nothing arrives, is given up after this. */
+/** Timeout, in milliseconds, of a connection attempt to a peer, and of a connection on which no data arrives. */
 export const PEER_IDLE_TIMEOUT_MS = 3_500;
--- a/src/constants/http.ts
+++ b/src/constants/http.ts
@@ -1,55 +1,79 @@
-/** HTTP and memory: sizes, sockets and shares of what a process may use. */
+/** Constants for HTTP messages and connections, and for the use of memory and sockets by a controller process. */
 
-/** bytes: the protocol's limit for a request body. */
+/** Maximum size of a request body, in bytes, as defined by the protocol. */
 export const MAX_BODY_BYTES = 64 * 1024;
-/** bytes: request line and headers together; ours are a few hundred bytes, a flood is refused. */
+/**
+ * Maximum size of the request line and headers together, in bytes. Legitimate requests have a few hundred bytes; more
+ * is rejected as a flood.
+ */
 export const MAX_HEAD_BYTES = 8 * 1024;
-/** count: header lines in one message; more is a flood. */
+/** Maximum number of header lines in one message. A message with more is rejected as a flood. */
 export const MAX_HEADERS = 64;
-/** count: header lines whose check is remembered; hosts, types and lengths repeat with every request. */
+/**
+ * Maximum number of header lines that are cached after they passed the syntax check. Host, content type and length
+ * repeat in every request.
+ */
 export const CHECKED_HEADER_LINES = 1024;
-/** bytes: longer lines are checked each time. */
+/** Maximum size, in bytes, of a header line in that cache. Longer lines are checked each time. */
 export const CHECKED_HEADER_BYTES = 64;
-/** bytes: an answer to us (a watch after an outage has no size limit; this bounds our memory). */
+/**
+ * Maximum size, in bytes, of a response from an outside service. The protocol does not limit the size of a watch
+ * response after an outage, so this limit bounds the memory that a response takes.
+ */
 export const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-/** bytes: of such an answer that are always taken; a page of the state service has at most half of this. */
+/** Responses of up to this many bytes are always accepted. A page of the state store has at most half this size. */
 export const MIN_ANSWER_BYTES = 1024 * 1024;
-/** share of the memory for data that one answer may take; parsed, it takes several times as much. */
+/** One response may take up to this share of the memory for data. After parsing it takes several times as much. */
 export const ANSWER_MEMORY_SHARE = 0.1;
-/** share of the memory for data above which user requests are rejected; the rest is for workers and jobs. */
+/**
+ * User requests are rejected while more than this share of the memory for data is in use. Workers and jobs need the
+ * rest.
+ */
 export const MEMORY_SHORT_SHARE = 0.85;
-/** ratio to that limit below which user requests are accepted again. */
+/**
+ * User requests are accepted again once memory use falls below this share of the limit above which they are rejected.
+ */
 export const MEMORY_RECOVERED_RATIO = 0.9;
-/** ms: between two checks of the memory in use. */
+/** Interval between two checks of the memory in use, in milliseconds. */
 export const MEMORY_CHECK_INTERVAL_MS = 1_000;
-/** bytes: what a process takes besides its heap and buffers (docs/operations.md). */
+/** Memory, in bytes, that a process takes in addition to its heap and buffers (see docs/operations.md). */
 export const PROCESS_BASE_BYTES = 50 * 1024 * 1024;
-/** share of the memory for data that may wait to be sent to all peers together. */
+/** Data that waits to be sent to the peers may take up to this share of the memory for data, for all peers together. */
 export const PEER_MEMORY_SHARE = 0.06;
-/** ms: a request that has begun must be complete within this; guards against slow clients. */
+/** A request must be complete within this many milliseconds. This guards against slow clients. */
 export const REQUEST_READ_MS = 10_000;
-/** ms: an idle kept-alive connection is closed after this; users poll about every 5 s. */
+/** An idle kept-alive connection is closed after this many milliseconds. Users poll about every 5 s. */
 export const IDLE_CONNECTION_MS = 120_000;
-/** ms: unused for this long, a connection gives way when all are taken; workers and users come every few seconds. */
+/**
+ * If all connections are in use, a connection that has been idle for this many milliseconds is closed to make room for
+ * a new one. Workers and users send requests every few seconds.
+ */
 export const LEFT_CONNECTION_MS = 10_000;
 /**
- * share of the sockets for clients above which each connection ends after its answer. What is left takes those that come
- * at once, as when all turn to one controller.
+ * While more than this share of the sockets for clients is in use, each connection is closed after its response. The
+ * remaining sockets absorb bursts, for example when all clients turn to one controller.
  */
 export const CROWDED_SHARE = 0.7;
-/** share of the sockets for clients on which heartbeats may wait for a leader; users and health checks need the others. */
+/**
+ * Heartbeats that wait for a leader may occupy up to this share of the sockets for clients. Users and health checks
+ * need the others.
+ */
 export const WAITING_HEARTBEATS_SHARE = 0.6;
-/** share of the sockets for commands straight to workers; beyond it they wait for the next report. */
+/**
+ * This share of the sockets is used for direct calls to workers. Further commands wait for the worker's next heartbeat.
+ */
 export const WORKER_CALL_SHARE = 0.15;
-/** sockets: kept free of users and workers, for our own calls and the peers. */
+/** Number of sockets that users and workers can't take. They are for the controller's own calls and the peers. */
 export const RESERVED_SOCKETS = 64;
-/** share of the sockets that the above may take at the most. */
+/** The reserved sockets are at most this share of all sockets. */
 export const RESERVED_SOCKETS_SHARE = 0.25;
-/** MB: taken for the limit of a process whose settings name none; what the smallest controllers have. */
+/**
+ * Memory limit, in MiB, of a process whose settings do not specify one. The smallest controllers have this much memory.
+ */
 export const DEFAULT_MEMORY_MB = 108;
-/** sockets: parallel connections to one outside service; what exceeds it waits. */
+/** Maximum number of parallel connections to one outside service. Further calls wait for a connection. */
 export const POOL_SIZE = 8;
-/** calls: waiting for a connection to one service; beyond that callers are refused at once. */
+/** Maximum number of calls that wait for a connection to one service. Further calls fail immediately. */
 export const POOL_QUEUE = 256;
-/** ms: an idle pooled connection is dropped after this, before the far side is likely to. */
+/** An idle pooled connection is closed after this many milliseconds, before the server is likely to close it. */
 export const POOL_IDLE_MS = 30_000;
--- a/src/constants/least-settings.ts
+++ b/src/constants/least-settings.ts
@@ -1,16 +1,19 @@
-/** Least values of settings, below which a start warns. */
+/** Minimum values of settings. The service warns at startup about settings below them. */
 
-/** requests a second: a controller that does not lead watches, and reads for its users now and then. */
+/** Minimum requests per second for each follower: it watches the state store, and sometimes reads for its users. */
 export const LEAST_FOLLOWER_RPS = 4;
-/** writes a second: below this a fleet of a hundred machines takes longer to record than to boot. */
+/** Minimum writes per second for the leader. Below this, a hundred machines take longer to record than to boot. */
 export const LEAST_LEADER_WRITES = 5;
-/** bytes of a value: a group of several machines, or a job with a list of types. */
+/** Minimum size limit of a value, in bytes. A group of several machines, or a job with a list of types, must fit. */
 export const LEAST_VALUE_BYTES = 1024;
-/** puts in a transaction: a job and a few of its chunks, or a split group. */
+/** Minimum operations per transaction. A job and a few of its completion segments, or a split group, must fit. */
 export const LEAST_TXN_OPS = 4;
-/** requests a second: one list, a rental and a return now and then. */
+/** Minimum requests per second to the cloud: the reads of the list, and an occasional launch or termination. */
 export const LEAST_CLOUD_RPS = 1;
-/** sockets for clients: fewer are taken up by health checks and a few users. */
+/** Minimum number of sockets for clients. Fewer would be used up by health checks and a few users. */
 export const FEWEST_CLIENT_SOCKETS = 100;
-/** reports that fit into a lease: one is lost, one finds its controller gone, one is on its way. */
+/**
+ * Minimum number of heartbeats that must fit into a lease: one may be lost, one may be sent to a controller that is
+ * gone, and one may be in flight.
+ */
 export const REPORTS_PER_LEASE = 4;
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -1,86 +1,133 @@
-/** scheduling */
+/** Constants for scheduling, preemption, run time estimates, spot interruptions and scaling. */
 
-/** ms: scheduling cycles are at least this far apart; events in between are handled together. */
+/** Minimum interval between scheduling cycles, in milliseconds. Events in between are handled together. */
 export const SCHEDULING_CYCLE_MIN_INTERVAL_MS = 60;
-/** ratio: cycles take at most one part in this many of the processor; a slow controller has fewer of them. */
+/**
+ * Minimum interval between scheduling cycles, as a multiple of the duration of a cycle. It bounds the processor time
+ * that cycles take, so a slow controller runs fewer of them.
+ */
 export const SCHEDULING_CYCLE_REST_RATIO = 4;
-/** ms: between two reviews of all nodes; heartbeats, interruption notices and leases move over seconds. */
+/**
+ * Minimum interval between two reviews of all nodes, in milliseconds. Heartbeats, interruption notices and leases
+ * change within seconds.
+ */
 export const FLEET_REVIEW_MIN_INTERVAL_MS = 250;
-/** ratio: these reviews take at most one part in this many of the processor; they grow with the fleet. */
+/**
+ * Minimum interval between these reviews, as a multiple of the duration of a review. It bounds the processor time that
+ * reviews take, because their duration grows with the fleet.
+ */
 export const FLEET_REVIEW_REST_RATIO = 20;
-/** ms: between two rounds of scale out, and of preemption for job arrays; nodes boot for many seconds. */
+/**
+ * Minimum interval, in milliseconds, between two rounds of scale-out, and between two rounds of preemption for jobs
+ * below rank `prod`. Nodes take many seconds to boot.
+ */
 export const SCALE_OUT_MIN_INTERVAL_MS = 500;
-/** ms: a scheduling cycle happens at least this often. */
+/** Maximum interval between scheduling cycles, in milliseconds. */
 export const SCHEDULING_CYCLE_MAX_INTERVAL_MS = 1_000;
-/** starts: always possible in one cycle; bounds the load of the stages after it. */
+/**
+ * The maximum number of tasks that one scheduling cycle starts is never less than this. That maximum bounds the load on
+ * the stages after scheduling.
+ */
 export const MIN_STARTS_PER_CYCLE = 300;
-/** amounts are decimals: differences below this are rounding. */
+/** Tolerance for comparing resource amounts. Amounts are decimals, and smaller differences are rounding errors. */
 export const EPSILON = 1e-6;
-/** ms: the least an on-demand instance is charged; terminating it earlier saves nothing. */
+/** Minimum billed time of an on-demand instance, in milliseconds. Terminating it earlier saves nothing. */
 export const MIN_BILLED_MS = 60_000;
-/** score of a node, in processor cores left free: a node on which a task of the job failed comes after all others. */
+/**
+ * Score penalty of a node on which a task of the job failed. The unit is one processor core left free. Such nodes rank
+ * after all others.
+ */
 export const SCORE_FAILED_NODE = 1e6;
-/** score of a node, in processor cores left free: spot or on demand, whichever the job prefers, goes before start time. */
+/**
+ * Score penalty of a node that is not of the kind, spot or on-demand, that the job prefers. The unit is one processor
+ * core left free. The kind takes precedence over the start time.
+ */
 export const SCORE_UNPREFERRED_KIND = 1e4;
-/** score of a node, in processor cores left free, per second of pulling the image: start time goes before packing. */
+/**
+ * Score penalty of a node for each second that it takes to pull the image. The unit is one processor core left free.
+ * The start time takes precedence over bin packing.
+ */
 export const SCORE_PER_IMAGE_PULL_S = 10;
-/** ms: a service in production that waits this long preempts lower ranks: its users are watching. */
+/** A production service preempts lower ranks after waiting this many milliseconds, because its users wait for it. */
 export const PREEMPT_PROD_AFTER_MS = 0;
-/** ms: other work waits this long before it preempts lower ranks, or what keeps its team's guarantee from it. */
+/**
+ * Any other job waits this many milliseconds before it preempts lower ranks, or tasks that keep its team from using its
+ * guarantee.
+ */
 export const PREEMPT_AFTER_MS = 4_000;
-/** ratio: how many times its owner's estimate a task is expected to run, before any task of its class was observed. */
+/**
+ * Expected run time of a task as a multiple of its owner's estimate, as long as no run time of its job class has been
+ * observed.
+ */
 export const ESTIMATE_MARGIN = 1.6;
-/** jobs: ESTIMATE_MARGIN weighs as much as the observed run times of this many jobs of a class. */
+/** `ESTIMATE_MARGIN` has the same weight as the observed run times of this many jobs of a class. */
 export const ESTIMATE_WEIGHT_JOBS = 3;
-/** ratio: how many times the mean run time of its job's completed tasks a task is expected to run. */
+/** Expected run time of a task as a multiple of the mean run time of the completed tasks of its job. */
 export const OBSERVED_RUN_TIME_MARGIN = 1.25;
-/** ratio of its run time that a task which outran its estimate is expected to run on. */
+/** A task that exceeded its estimate is expected to run on for this share of the time that it has already run. */
 export const OVERRUN_SHARE = 0.5;
-/** ratio of its owner's estimate that a task runs at least, when it is decided whether a deadline can still be met. */
+/**
+ * Assumed minimum run time of a task, as a share of its owner's estimate, when checking if a deadline can still be met.
+ */
 export const MIN_RUN_TIME_SHARE = 0.7;
-/** s: added to the cost of a preemption by which a job that could be in time misses its deadline. */
+/** Added to the cost, in seconds, of a preemption that makes a job miss a deadline which it could otherwise meet. */
 export const MISSED_DEADLINE_PENALTY_S = 1_000;
 /**
- * s: a job that has waited this long for tasks to complete gets nodes of its own: newer jobs with earlier deadlines would
- * otherwise get that capacity again and again.
+ * A job that has waited this many seconds for running tasks to complete gets nodes of its own. Otherwise newer jobs
+ * with earlier deadlines could take the freed capacity again and again.
  */
 export const OCCUPIED_CAPACITY_WAIT_S = 60;
 /**
- * ms: after its last deadline a job takes its turn as if it were due this much later, so that a stream of newer jobs
- * can't hold it up for ever.
+ * A job that missed its last deadline is queued as if it were due this many milliseconds after its earliest deadline,
+ * so that a stream of newer jobs can't delay it forever.
  */
 export const LATE_JOB_DUE_MS = 90_000;
-/** ms: between the end of a job and the first start of a dependent: heartbeats, the write, fetching an image. */
+/**
+ * Expected delay, in milliseconds, between the end of a job and the first start of a dependent job. It covers
+ * heartbeats, the write to the state store and the pull of an image.
+ */
 export const DEPENDENT_START_DELAY_MS = 4_000;
-/** ms: an undated job takes its turn as if it were due this long after it was accepted. */
+/** A job without a deadline is queued as if it were due this many milliseconds after it became ready to run. */
 export const UNDATED_JOB_DUE_MS = 120_000;
-/** ms: a job of which no task runs after waiting this long counts as guaranteed: the largest must begin in time. */
+/**
+ * A job that has waited this many milliseconds without a running task is queued with the jobs within their team's
+ * guarantee, so that even the largest jobs start in time.
+ */
 export const STARVATION_MS = 100_000;
-/** ms: in an hour. */
+/** Milliseconds per hour. */
 export const MS_PER_HOUR = 3_600_000;
-/** count: spot interruptions per hour of use, as expected before any use was observed. */
+/** Expected number of spot interruptions per hour of use before any use has been observed. */
 export const SPOT_PRIOR_INTERRUPTIONS_PER_HOUR = 2;
-/** hours: of observed use as much as which that expectation weighs. */
+/** That expectation has the same weight as this many hours of observed use. */
 export const SPOT_PRIOR_HOURS = 0.25;
-/** count: interruptions per hour of use above which jobs with a deadline avoid spot nodes: their last task decides. */
+/**
+ * Above this number of spot interruptions per hour of use, jobs with a deadline avoid spot nodes. Such a job is done
+ * only when its last task is.
+ */
 export const MAX_SPOT_INTERRUPTIONS_PER_HOUR = 4;
-/** ms: spot interruptions within this time of the first count as one burst. */
+/** Spot interruptions within this many milliseconds of the first one count as one burst. */
 export const SPOT_BURST_MS = 10_000;
-/** ratio: to the interruptions expected in that time, above which those of a burst are not counted. */
+/** Of the interruptions in a burst, at most this multiple of the number expected in that time is counted. */
 export const SPOT_BURST_FACTOR = 3;
-/** count: interruptions of a burst that are counted at the least. */
+/** At least this many interruptions of a burst are counted, if there are as many. */
 export const SPOT_BURST_MIN_COUNTED = 3;
-/** ms: between two writes of the observed interruptions. */
+/** Minimum interval between two writes of the observed interruptions, in milliseconds. */
 export const SPOT_INTERRUPTIONS_WRITE_INTERVAL_MS = 30_000;
-/** ms: over which the arrivals of a job class are counted for its headroom. */
+/** Time window, in milliseconds, in which the arrivals of a job class are counted to compute its headroom. */
 export const HEADROOM_WINDOW_MS = 180_000;
-/** ratio: of headroom to the tasks expected while a node boots; jobs do not arrive evenly. */
+/** Headroom as a multiple of the tasks expected to arrive while a node boots. Jobs do not arrive evenly. */
 export const HEADROOM_MARGIN = 1.5;
-/** jobs: of average size that headroom holds at the most. */
+/** Maximum headroom, as a number of jobs of average size. */
 export const HEADROOM_MAX_JOBS = 3;
-/** s: expected time from launch to a task's start beyond the catalog's boot time (image, heartbeat). */
+/**
+ * Expected time, in seconds, between the end of the catalog's boot time and the start of a task: the node has to send a
+ * heartbeat and pull an image.
+ */
 export const NODE_START_OVERHEAD_S = 8;
-/** s: grace period of a task that is stopped because its node is drained. */
+/** Grace period, in seconds, of a task that is stopped because its node is drained. */
 export const DRAIN_GRACE_PERIOD_S = 30;
-/** s: added to a task's checkpoint and a heartbeat interval when a node is about to be interrupted. */
+/**
+ * Margin, in seconds, for stopping a task before its node is interrupted. It is added to the time for a checkpoint and
+ * to one heartbeat interval.
+ */
 export const CHECKPOINT_MARGIN_S = 2;
--- a/src/constants/task-retries.ts
+++ b/src/constants/task-retries.ts
@@ -1,8 +1,10 @@
-/** Retries of tasks. */
+/** Constants for the backoff of jobs with failed tasks, and for the quarantine of nodes on which tasks fail. */
 
-/** ms: a job's backoff after one of its tasks failed; doubled with each failure in a row. */
+/** Backoff of a job, in milliseconds, after one of its tasks failed. It doubles with each consecutive failure. */
 export const FAILURE_BACKOFF_MS = 2_000;
-/** ms: longest such backoff; a job submitted with a mistake fails until its user cancels it. */
+/**
+ * Maximum backoff of a job, in milliseconds. A job that was submitted with an error fails until its user cancels it.
+ */
 export const FAILURE_BACKOFF_MAX_MS = 60_000;
-/** jobs: that fail on one node, and run elsewhere, before the node is quarantined. */
+/** A node is quarantined after tasks of this many jobs failed on it that run on other nodes. */
 export const QUARANTINE_AFTER_JOBS = 2;
--- a/src/constants/users.ts
+++ b/src/constants/users.ts
@@ -1,17 +1,22 @@
-/** Requests of users: limits, waits and answers. */
+/** Constants for requests of users. */
 
-/** ms: users give up on a submission after 5 s; we answer 503 before that. */
+/** Timeout for the answer to a submission, in milliseconds. Users give up after 5 s, and get status 503 before that. */
 export const SUBMIT_ANSWER_MS = 3_500;
-/** ms: users wait 2 s for the answer to a poll. */
+/** Timeout for the answer to a poll, in milliseconds. Users wait for it for 2 s. */
 export const POLL_ANSWER_MS = 1_500;
-/** s: what an overloaded or blind controller tells its users; the protocol's shortest retry. */
+/**
+ * Seconds after which users are asked to retry by a controller that is overloaded or does not reach the state store. It
+ * is the shortest delay that the protocol allows.
+ */
 export const RETRY_AFTER_S = 1;
-/** count: submissions and polls in progress at one controller; beyond it 503 at once. */
+/**
+ * Maximum number of submissions and polls in progress at one controller. Further requests get status 503 immediately.
+ */
 export const MAX_USERS_WAITING = 400;
-/** count: most tasks in one job (protocol). */
+/** Maximum number of tasks in one job, as defined by the protocol. */
 export const MAX_TASKS = 100_000;
 
-/** count: ids of dependency lists; so many that two attempts to submit a job never draw the same. */
+/** Number of possible dependency list ids. It is so large that no two attempts to submit a job draw the same id. */
 export const DEPENDENCY_LIST_IDS = 2 ** 48;
-/** characters: of a malformed submission that are logged. */
+/** Maximum number of characters of a malformed submission that are logged. */
 export const LOGGED_BODY = 500;
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -1,43 +1,58 @@
-/** Workers: heartbeats, commands and leases. */
+/** Constants for workers: their heartbeats, commands and leases. */
 
-/** ms: on top of a worker's lease before its tasks count as over. */
+/** Margin, in milliseconds, after the end of a worker's lease before its tasks count as ended. */
 export const LEASE_MARGIN_MS = 300;
-/** ms: timeout of a direct call with commands to a worker. */
+/** Timeout of a direct call that sends commands to a worker, in milliseconds. */
 export const COMMAND_CALL_TIMEOUT_MS = 3_000;
-/** ms: least time between two direct calls that carry the same stop command. */
+/** Minimum interval, in milliseconds, between two direct calls that carry the same stop command. */
 export const STOP_RESEND_INTERVAL_MS = 3_000;
-/** heartbeat intervals without a heartbeat after which nothing new is placed on a node. */
+/** No tasks are placed on a node that sent no heartbeat for this many heartbeat intervals. */
 export const UNSCHEDULABLE_AFTER_HEARTBEATS = 2.5;
-/** heartbeat intervals without a heartbeat after which a node counts as lost and is replaced. */
+/** A node that sent no heartbeat for this many heartbeat intervals counts as lost and is replaced. */
 export const UNREACHABLE_AFTER_HEARTBEATS = 3;
-/** ratio of the heartbeat interval that may lie between two heartbeats (protocol: plus or minus a quarter). */
+/**
+ * Maximum time between two heartbeats, as a multiple of the heartbeat interval. By the protocol a worker deviates from
+ * the interval by up to a quarter.
+ */
 export const HEARTBEAT_GAP_RATIO = 1.25;
-/** heartbeat intervals after which a heartbeat is overdue: longer than any gap, shorter than until a node is lost. */
+/**
+ * A heartbeat is overdue after this many heartbeat intervals. This is longer than any regular gap, and shorter than the
+ * time after which a node counts as lost.
+ */
 export const OVERDUE_AFTER_HEARTBEATS = 1.5;
-/** ratio of a controller's nodes that are overdue together above which rather the controller is out of reach. */
+/**
+ * If more than this share of the nodes of one controller is overdue together, the controller is probably unreachable.
+ */
 export const SUSPECT_CONTROLLER_SHARE = 0.05;
-/** ratio of all nodes that are overdue together above which they are rather partitioned from the leader than lost. */
+/**
+ * If more than this share of all nodes is overdue together, they are probably partitioned from the leader and not lost.
+ */
 export const MASS_OUTAGE_NODES_SHARE = 0.25;
-/** nodes: that may be overdue at once by failures of their own, however few nodes there are. */
+/** Up to this many nodes may be overdue at once through independent failures, regardless of the number of nodes. */
 export const MAX_ISOLATED_OUTAGES = 2;
-/** ms: a worker without an answer turns to another controller after this (protocol). */
+/** By the protocol, a worker that gets no answer turns to another controller after this many milliseconds. */
 export const WORKER_GIVE_UP_MS = 4_000;
-/** ms: before a worker that was not served tries the next controller (protocol). */
+/** By the protocol, a worker that was not served waits this many milliseconds before it tries the next controller. */
 export const WORKER_RETRY_MS = 1_000;
-/** ms: for a redirect on the way, and the way itself. */
+/** Margin, in milliseconds, for the network latency of a heartbeat and for one redirect. */
 export const HEARTBEAT_REDIRECT_MARGIN_MS = 1_000;
-/** responses in a row without effect before they count as not reaching the node. */
+/** After this many consecutive responses without effect, responses are considered not to reach the node. */
 export const MAX_UNACKNOWLEDGED_RESPONSES = 2;
 /**
- * ms: for which a worker that does not show the fencing token of this term gets responses; after that they evidently do
- * not reach it.
+ * For this many milliseconds, a worker that does not send the fencing token of the current term gets responses. After
+ * that the responses are considered not to reach the worker.
  */
 export const FIRST_CONTACT_WINDOW_MS = 6_000;
-/** ms: for which deleted nodes are remembered; copies of their heartbeats may arrive late, well over a lease. */
+/**
+ * Deleted nodes are remembered for this many milliseconds. Copies of their heartbeats may arrive late, by much more
+ * than the duration of a lease.
+ */
 export const DELETED_NODE_RETENTION_MS = 600_000;
-/** attempts: the low bits of an attempt's number; the high part is the leader's term. */
+/**
+ * Number of attempts per term. The low bits of an attempt number count up to it; the high bits hold the leader's term.
+ */
 export const ATTEMPTS_PER_TERM = 2 ** 22;
-/** attempts: left when a term ends for want of numbers; more than one pass starts. */
+/** A term ends when only this many attempt numbers are left. One scheduling cycle starts fewer attempts. */
 export const ATTEMPTS_RESERVED = 2 ** 16;
-/** commands: in one response to a heartbeat, or in one direct call; keeps it far below 64 KiB. */
+/** Maximum number of commands in one response to a heartbeat or one direct call. It keeps both far below 64 KiB. */
 export const MAX_COMMANDS_PER_RESPONSE = 200;
