--- a/src/pipeline/dependency-graph.ts
+++ b/src/pipeline/dependency-graph.ts
@@ -1,91 +1,107 @@
 /**
- * Dependencies between jobs: a submission names the jobs that must be done before it. Each job is a member of a pipeline
- * in the sense of the InterBase paper, with the predicate "all predecessors succeeded". The state store holds one phase
- * per job; the states of a pipeline's members are derived from these phases here.
+ * Tracks the dependencies between jobs. A submission names the jobs that must be done before the submitted job can run.
+ * Each job is a member of a pipeline in the sense of the InterBase paper, with the predicate "all predecessors
+ * succeeded". The state store holds one phase per job. This module derives the states of the pipeline members from
+ * these phases.
  */
 import type { JobPhase } from '../state/records.js';
-import { and, executableMembers, succeeded, TRUE, type MemberState, type Pipeline } from './pipeline.js';
-
-/** What the state store holds of a job, as far as its dependencies go. */
-export interface StoredMember {
-  /** Whether it goes on, is done, or was cancelled. */
+import {
+  ALWAYS_TRUE,
+  and,
+  findExecutableMembers,
+  succeeded,
+  type MemberState,
+  type Pipeline,
+} from './pipeline.js';
+
+/** The parts of a stored job that determine its dependency status and that of its dependents. */
+export interface StoredJobDependencies {
+  /** Whether the job is open, done or cancelled. */
   readonly phase: JobPhase;
-  /** Uids of the jobs that must be done before it; undefined: they are stored, but can't be read yet. */
+  /** Uids of the jobs that must be done before this one. Undefined if they are stored but can't be read yet. */
   readonly dependencies: readonly string[] | undefined;
 }
 
-/** `ready`: it has no dependencies, or all are done. `cancelled`: it or one of them, direct or not, is cancelled. */
+/**
+ * Whether a job's dependencies allow it to run. A job is `ready` if all its dependencies are done, or if it has none.
+ * It is `cancelled` if the job itself or any of its direct or indirect dependencies is cancelled.
+ */
 export type DependencyStatus = 'ready' | 'waiting' | 'cancelled';
 
-const STATE_OF_PHASE = { open: 'N', done: 'S', cancelled: 'F' } as const satisfies Record<
+const MEMBER_STATE_BY_PHASE = { open: 'N', done: 'S', cancelled: 'F' } as const satisfies Record<
   JobPhase,
   MemberState
 >;
 
-/** The states that a job can have in the graph: whether a member is being executed is not known here. */
-type GraphState = (typeof STATE_OF_PHASE)[JobPhase];
+/** The states that a job can have in the graph. The graph does not know whether a job is being executed. */
+type GraphMemberState = (typeof MEMBER_STATE_BY_PHASE)[JobPhase];
 
-/** Name of the member that waits, in the pipeline that decides whether it is executable. */
-const DEPENDENT = '';
+/** Name of the waiting job in the pipeline that is built to find out whether the job is executable. */
+const DEPENDENT_NAME = '';
 
-/** Whether a job whose dependencies are in these states is executable (definition 5 of the paper). */
-export function isExecutable(predecessors: readonly MemberState[]): boolean {
-  const names = predecessors.map((_, index) => String(index));
+/** Whether a job is executable if its dependencies are in the given states (definition 5 of the paper). */
+export function isExecutable(predecessorStates: readonly MemberState[]): boolean {
+  const predecessorNames = predecessorStates.map((_, index) => String(index));
   const pipeline: Pipeline = {
     members: [
-      ...names.map((name) => ({ name, predecessors: [], predicate: TRUE })),
-      { name: DEPENDENT, predecessors: names, predicate: and(...names.map(succeeded)) },
+      ...predecessorNames.map((name) => ({ name, predecessors: [], predicate: ALWAYS_TRUE })),
+      {
+        name: DEPENDENT_NAME,
+        predecessors: predecessorNames,
+        predicate: and(...predecessorNames.map(succeeded)),
+      },
     ],
-    acceptableStates: ['S'.repeat(names.length + 1)],
+    acceptableStates: ['S'.repeat(predecessorNames.length + 1)],
     valueSteps: [],
   };
-  return executableMembers(pipeline, `${predecessors.join('')}N`).includes(DEPENDENT);
+  return findExecutableMembers(pipeline, `${predecessorStates.join('')}N`).includes(DEPENDENT_NAME);
 }
 
-/** A job that is open, or that an open job named before its own value was read. */
+/** An open job, or a job that an open job depends on and whose own stored value has not been read yet. */
 interface GraphMember {
-  /** Whether its own value was read with its dependencies; until then it is only named by others. */
-  isRead: boolean;
-  /** By its stored phase; F also where one of its dependencies has failed. */
-  state: GraphState;
+  /** Whether its stored value was read with its dependencies. Until then it is only known as a dependency of others. */
+  isLoaded: boolean;
+  /** The state that follows from its stored phase. It is also F if one of its dependencies has failed. */
+  state: GraphMemberState;
   dependencies: readonly string[];
-  /** The number of its dependencies that have not succeeded. */
-  unmetDependencies: number;
+  /** Number of its dependencies that have not succeeded. */
+  unmetDependencyCount: number;
   isReady: boolean;
-  /** Uids of the jobs that wait for it. */
+  /** Uids of the jobs that depend on it. */
   readonly dependents: Set<string>;
 }
 
 /**
- * The status of each job by its dependencies. It follows from stored values alone, so that all controllers agree on it:
- * what a cancellation means for dependents is not written anywhere. A change costs as much as it touches edges; a job
- * that is over, or that has neither dependencies nor dependents, costs nothing.
+ * Computes the dependency status of each job. The status follows from stored values alone, so that all controllers
+ * agree on it. The effect of a cancellation on dependents is not stored. The cost of a change is proportional to the
+ * number of edges that it affects. A job that is done or cancelled, or that has neither dependencies nor dependents,
+ * costs nothing.
  */
 export class DependencyGraph {
   private readonly members = new Map<string, GraphMember>();
 
-  constructor(private readonly read: (uid: string) => StoredMember | undefined) {}
+  constructor(private readonly readStoredJob: (uid: string) => StoredJobDependencies | undefined) {}
 
-  /** The number of jobs that the graph keeps: open ones with dependencies or dependents. */
+  /** Number of jobs in the graph. These are the open jobs with dependencies or dependents. */
   get size(): number {
     return this.members.size;
   }
 
-  /** Takes over the stored value of a job that is new or changed. */
-  update(uid: string, stored: StoredMember): void {
+  /** Updates the graph with the stored value of a job that is new or changed. */
+  update(uid: string, stored: StoredJobDependencies): void {
     const isOpen = stored.phase === 'open';
     let member = this.members.get(uid);
     if (!member && (!isOpen || stored.dependencies?.length === 0)) return;
-    member ??= this.add(uid);
-    if (isOpen && !member.isRead) this.link(uid, member, stored.dependencies);
-    member.isRead = !isOpen || stored.dependencies !== undefined;
-    if (stored.phase === 'done') this.succeed(member);
-    else if (stored.phase === 'cancelled') this.fail(uid);
-    // From now on others learn all that they need from its stored value.
+    member ??= this.addMember(uid);
+    if (isOpen && !member.isLoaded) this.linkDependencies(uid, member, stored.dependencies);
+    member.isLoaded = !isOpen || stored.dependencies !== undefined;
+    if (stored.phase === 'done') this.markSucceeded(member);
+    else if (stored.phase === 'cancelled') this.markFailed(uid);
+    // From now on its stored value tells its dependents all that they need to know.
     if (!isOpen) this.members.delete(uid);
   }
 
-  /** The status of a job; one that the graph does not know is ready. */
+  /** Returns the status of a job. A job that is not in the graph is ready. */
   statusOf(uid: string): DependencyStatus {
     const member = this.members.get(uid);
     if (!member) return 'ready';
@@ -93,12 +109,12 @@
     return member.isReady ? 'ready' : 'waiting';
   }
 
-  private add(uid: string): GraphMember {
+  private addMember(uid: string): GraphMember {
     const member: GraphMember = {
-      isRead: false,
+      isLoaded: false,
       state: 'N',
       dependencies: [],
-      unmetDependencies: 0,
+      unmetDependencyCount: 0,
       isReady: false,
       dependents: new Set(),
     };
@@ -106,65 +122,74 @@
     return member;
   }
 
-  private link(uid: string, member: GraphMember, dependencies: readonly string[] | undefined): void {
-    // A job whose dependencies can't be read waits.
+  private linkDependencies(
+    uid: string,
+    member: GraphMember,
+    dependencies: readonly string[] | undefined,
+  ): void {
+    // A job whose dependencies can't be read has to wait.
     if (!dependencies) return;
     member.dependencies = dependencies;
-    let hasFailed = false;
-    for (const name of dependencies) {
-      const dependency = this.members.get(name) ?? this.firstReference(name);
+    let hasFailedDependency = false;
+    for (const dependencyUid of dependencies) {
+      const dependency = this.members.get(dependencyUid) ?? this.resolveFirstReference(dependencyUid);
       if (dependency === 'S') continue;
       if (dependency === 'F' || dependency.state === 'F') {
-        hasFailed = true;
+        hasFailedDependency = true;
       } else {
         dependency.dependents.add(uid);
-        member.unmetDependencies++;
+        member.unmetDependencyCount++;
       }
     }
-    if (hasFailed) this.fail(uid);
-    else if (member.unmetDependencies === 0) this.checkExecutable(member);
+    if (hasFailedDependency) this.markFailed(uid);
+    else if (member.unmetDependencyCount === 0) this.updateReadiness(member);
   }
 
-  /** A job that is named for the first time: the state in which it ended, or a new member if it is not over. */
-  private firstReference(uid: string): GraphMember | 'S' | 'F' {
-    const stored = this.read(uid);
-    if (stored && stored.phase !== 'open') return STATE_OF_PHASE[stored.phase];
-    const member = this.add(uid);
-    // An open job with dependencies would be a member already.
-    member.isRead = stored !== undefined;
-    member.isReady = member.isRead;
+  /**
+   * Handles the first reference to a job that is not in the graph. Returns the state in which the job ended, or a new
+   * member if the job is open or not stored yet.
+   */
+  private resolveFirstReference(uid: string): GraphMember | 'S' | 'F' {
+    const stored = this.readStoredJob(uid);
+    if (stored && stored.phase !== 'open') return MEMBER_STATE_BY_PHASE[stored.phase];
+    const member = this.addMember(uid);
+    // An open job with dependencies would already be in the graph.
+    member.isLoaded = stored !== undefined;
+    member.isReady = member.isLoaded;
     return member;
   }
 
-  private succeed(member: GraphMember): void {
+  private markSucceeded(member: GraphMember): void {
     if (member.state !== 'N') return;
     member.state = 'S';
-    for (const name of member.dependents) {
-      const dependent = this.members.get(name);
-      if (dependent && --dependent.unmetDependencies === 0) this.checkExecutable(dependent);
+    for (const dependentUid of member.dependents) {
+      const dependent = this.members.get(dependentUid);
+      if (dependent && --dependent.unmetDependencyCount === 0) this.updateReadiness(dependent);
     }
     member.dependents.clear();
   }
 
-  private checkExecutable(member: GraphMember): void {
-    member.isReady = isExecutable(member.dependencies.map((name) => this.stateOf(name)));
+  private updateReadiness(member: GraphMember): void {
+    member.isReady = isExecutable(
+      member.dependencies.map((dependencyUid) => this.getMemberState(dependencyUid)),
+    );
   }
 
-  private stateOf(uid: string): GraphState {
+  private getMemberState(uid: string): GraphMemberState {
     const member = this.members.get(uid);
     if (member) return member.state;
-    const stored = this.read(uid);
-    return stored ? STATE_OF_PHASE[stored.phase] : 'N';
+    const stored = this.readStoredJob(uid);
+    return stored ? MEMBER_STATE_BY_PHASE[stored.phase] : 'N';
   }
 
-  /** Fails a job and all its dependents, direct or not: their predicates can't become true any more. */
-  private fail(uid: string): void {
-    const failing = [uid];
-    for (let name = failing.pop(); name !== undefined; name = failing.pop()) {
-      const member = this.members.get(name);
+  /** Marks a job and all its direct and indirect dependents as failed, because their predicates can't become true. */
+  private markFailed(uid: string): void {
+    const remainingUids = [uid];
+    for (let failingUid = remainingUids.pop(); failingUid !== undefined; failingUid = remainingUids.pop()) {
+      const member = this.members.get(failingUid);
       if (member?.state !== 'N') continue;
       member.state = 'F';
-      failing.push(...member.dependents);
+      remainingUids.push(...member.dependents);
       member.dependents.clear();
     }
   }
--- a/src/pipeline/inherited-priority.ts
+++ b/src/pipeline/inherited-priority.ts
@@ -1,6 +1,6 @@
 /**
- * Inherited priority: a job is as urgent as the most urgent job that depends on it, directly or through others. Its
- * deadlines are those of its dependents less the time that these take themselves.
+ * Priority inheritance: a job is as urgent as the most urgent job that depends on it, directly or indirectly. It
+ * inherits the deadlines of its dependents, minus the expected durations of these dependents.
  */
 import { RANKS, type Rank } from '../state/records.js';
 
@@ -8,114 +8,125 @@
 export interface Priority {
   /** The priority class that the user chose. */
   readonly rank: Rank;
-  /** Deadlines in wall ms, earliest first; the last one holds for all further ones. */
+  /**
+   * Deadlines in milliseconds of wall time, earliest first. If two lists of different lengths are compared, the last
+   * deadline of the shorter list is repeated.
+   */
   readonly deadlinesMs: readonly number[];
 }
 
-/** A job as its dependencies and its dependents see it. */
-export interface PriorityMember {
+/** The properties of a job that priority inheritance depends on. */
+export interface PrioritizedJob {
   /** Identifies the job. */
   readonly uid: string;
   /** Uids of the jobs that must be done before this one. */
   readonly dependencies: readonly string[];
   /** Its priority as it was submitted. */
   readonly ownPriority: Priority;
-  /** The highest priority that its dependents have passed on to it; undefined: none has. */
+  /** The highest priority inherited from its dependents. Undefined if it has not inherited any. */
   readonly inheritedPriority: Priority | undefined;
-  /** Ms that it is expected to take once all its dependencies are done. */
+  /** Expected duration, in milliseconds, from the end of its last dependency to its own end. */
   readonly expectedDurationMs: number;
-  /** Replaces the inherited priority by a higher one. */
+  /** Replaces the inherited priority with a higher one. */
   inheritPriority(priority: Priority): void;
 }
 
-/** Finds a job that is not over by its uid. */
-type FindMember = (uid: string) => PriorityMember | undefined;
+/** Finds an open job by its uid. */
+type FindJob = (uid: string) => PrioritizedJob | undefined;
 
-/** The higher of two ranks. */
+/** Returns the higher of two ranks. */
 export function higherRank(first: Rank, second: Rank): Rank {
   return RANKS.indexOf(second) < RANKS.indexOf(first) ? second : first;
 }
 
-/** The earlier of two lists of deadlines, step by step. */
-export function earlierDeadlines(first: readonly number[], second: readonly number[]): readonly number[] {
+/** Returns a list with the earlier of the two deadlines at each position. */
+export function minDeadlines(first: readonly number[], second: readonly number[]): readonly number[] {
   const length = Math.max(first.length, second.length);
-  return Array.from({ length }, (_, step) => Math.min(deadlineAt(first, step), deadlineAt(second, step)));
+  return Array.from({ length }, (_, index) =>
+    Math.min(getDeadlineAt(first, index), getDeadlineAt(second, index)),
+  );
 }
 
-/** The higher of two priorities, in rank and in each deadline: a pipeline has one t0, which all its members share. */
-export function highestPriority(first: Priority, second: Priority | undefined): Priority {
+/**
+ * Combines two priorities into one with the higher rank and the earlier deadline at each position. The deadlines are
+ * combined because all members of a pipeline share its one expiry time t0.
+ */
+export function combinePriorities(first: Priority, second: Priority | undefined): Priority {
   if (!second) return first;
   return {
     rank: higherRank(first.rank, second.rank),
-    deadlinesMs: earlierDeadlines(first.deadlinesMs, second.deadlinesMs),
+    deadlinesMs: minDeadlines(first.deadlinesMs, second.deadlinesMs),
   };
 }
 
 /**
- * Passes the priority of a new member on to its dependencies, and from these to theirs. Each edge among them is visited
- * once, dependents before dependencies; where the direct dependencies gain nothing, no others are visited.
+ * Passes the priority of a new job on to its direct and indirect dependencies. Each edge among them is visited once,
+ * dependents before dependencies. If no direct dependency gains priority, the indirect ones are not visited.
  */
-export function propagatePriority(newest: PriorityMember, find: FindMember): void {
-  const priority = priorityForDependencies(newest);
-  const direct = newest.dependencies.map(find).filter((member) => member !== undefined);
-  const changed = new Set(direct.filter((member) => inherit(member, priority)));
-  if (changed.size === 0) return;
-  for (const member of dependentsFirst([...changed], find)) {
-    if (!changed.has(member)) continue;
-    const passedOn = priorityForDependencies(member);
-    for (const uid of member.dependencies) {
-      const dependency = find(uid);
-      if (dependency && inherit(dependency, passedOn)) changed.add(dependency);
+export function propagatePriority(newJob: PrioritizedJob, findJob: FindJob): void {
+  const priorityFromNewJob = computePassedOnPriority(newJob);
+  const directDependencies = newJob.dependencies.map(findJob).filter((job) => job !== undefined);
+  const raisedJobs = new Set(directDependencies.filter((job) => raisePriority(job, priorityFromNewJob)));
+  if (raisedJobs.size === 0) return;
+  for (const job of sortDependentsFirst([...raisedJobs], findJob)) {
+    if (!raisedJobs.has(job)) continue;
+    const passedOnPriority = computePassedOnPriority(job);
+    for (const uid of job.dependencies) {
+      const dependency = findJob(uid);
+      if (dependency && raisePriority(dependency, passedOnPriority)) raisedJobs.add(dependency);
     }
   }
 }
 
-function deadlineAt(deadlinesMs: readonly number[], step: number): number {
-  return deadlinesMs[step] ?? deadlinesMs.at(-1) ?? Infinity;
+function getDeadlineAt(deadlinesMs: readonly number[], index: number): number {
+  return deadlinesMs[index] ?? deadlinesMs.at(-1) ?? Infinity;
 }
 
 function isSamePriority(first: Priority, second: Priority): boolean {
   return (
     first.rank === second.rank &&
     first.deadlinesMs.length === second.deadlinesMs.length &&
-    first.deadlinesMs.every((ms, step) => ms === second.deadlinesMs[step])
+    first.deadlinesMs.every((deadlineMs, index) => deadlineMs === second.deadlinesMs[index])
   );
 }
 
-/** What a job passes on: its deadlines less the time that it takes itself. */
-function priorityForDependencies(member: PriorityMember): Priority {
-  const { rank, deadlinesMs } = highestPriority(member.ownPriority, member.inheritedPriority);
-  return { rank, deadlinesMs: deadlinesMs.map((ms) => ms - member.expectedDurationMs) };
+/** Computes the priority that a job passes on. Its deadlines are earlier by the job's own expected duration. */
+function computePassedOnPriority(job: PrioritizedJob): Priority {
+  const { rank, deadlinesMs } = combinePriorities(job.ownPriority, job.inheritedPriority);
+  return { rank, deadlinesMs: deadlinesMs.map((deadlineMs) => deadlineMs - job.expectedDurationMs) };
 }
 
-/** True if the priority is higher in any respect than what the member had. */
-function inherit(member: PriorityMember, priority: Priority): boolean {
-  const before = highestPriority(member.ownPriority, member.inheritedPriority);
-  if (isSamePriority(highestPriority(before, priority), before)) return false;
-  member.inheritPriority(highestPriority(priority, member.inheritedPriority));
+/** Raises the inherited priority of a job. Returns false if the given priority is not higher in any respect. */
+function raisePriority(job: PrioritizedJob, priority: Priority): boolean {
+  const currentPriority = combinePriorities(job.ownPriority, job.inheritedPriority);
+  if (isSamePriority(combinePriorities(currentPriority, priority), currentPriority)) return false;
+  job.inheritPriority(combinePriorities(priority, job.inheritedPriority));
   return true;
 }
 
-/** Members and all their dependencies, each after its dependents. Without recursion: chains may be thousands long. */
-function dependentsFirst(members: readonly PriorityMember[], find: FindMember): PriorityMember[] {
-  const dependenciesFirst: PriorityMember[] = [];
-  const visited = new Set<PriorityMember>();
-  for (const start of members) {
-    if (visited.has(start)) continue;
-    visited.add(start);
-    const path = [{ member: start, nextDependency: 0 }];
-    for (let top = path.at(-1); top !== undefined; top = path.at(-1)) {
-      const uid = top.member.dependencies[top.nextDependency++];
+/**
+ * Returns the jobs and all their direct and indirect dependencies, sorted so that each job comes after its dependents.
+ * This is not recursive because dependency chains may have thousands of jobs.
+ */
+function sortDependentsFirst(jobs: readonly PrioritizedJob[], findJob: FindJob): PrioritizedJob[] {
+  const sortedDependenciesFirst: PrioritizedJob[] = [];
+  const visited = new Set<PrioritizedJob>();
+  for (const rootJob of jobs) {
+    if (visited.has(rootJob)) continue;
+    visited.add(rootJob);
+    const stack = [{ job: rootJob, nextDependencyIndex: 0 }];
+    for (let top = stack.at(-1); top !== undefined; top = stack.at(-1)) {
+      const uid = top.job.dependencies[top.nextDependencyIndex++];
       if (uid === undefined) {
-        dependenciesFirst.push(top.member);
-        path.pop();
+        sortedDependenciesFirst.push(top.job);
+        stack.pop();
         continue;
       }
-      const dependency = find(uid);
+      const dependency = findJob(uid);
       if (!dependency || visited.has(dependency)) continue;
       visited.add(dependency);
-      path.push({ member: dependency, nextDependency: 0 });
+      stack.push({ job: dependency, nextDependencyIndex: 0 });
     }
   }
-  return dependenciesFirst.reverse();
+  return sortedDependenciesFirst.reverse();
 }
--- a/src/pipeline/job-options.ts
+++ b/src/pipeline/job-options.ts
@@ -1,23 +1,23 @@
-/** The options from which a job is made. */
+/** The options for the construction of a job. */
 import type { JobRecord, JobSpec } from '../state/records.js';
 import type { WireInt } from '../wire/json.js';
 import type { DeadlineObjective } from './job-pipeline.js';
 import type { RunTimeEstimator } from './run-time-estimator.js';
 
-/** What a job is made of when a leader reads it from the state store. */
+/** The data from which a leader constructs a job that it has read from the state store. */
 export interface JobOptions {
   /** Identifies the job; part of its key in the state store. */
   readonly uid: string;
-  /** The stored value. */
+  /** The stored value of the job. */
   readonly record: JobRecord;
-  /** The specification in the record; jobs that are over have none. */
+  /** The specification in the record. Only records of jobs that are done or cancelled may lack one. */
   readonly spec: JobSpec;
-  /** Revision of the job's key. */
+  /** Revision of the job's key in the state store. */
   readonly modRevision: WireInt;
-  /** The deadline objectives of all classes. */
+  /** The deadline objectives of all job classes. */
   readonly objectives: readonly DeadlineObjective[];
-  /** Shared by the jobs of a term; by default the job has one of its own. */
+  /** The run time estimator that all jobs of a term share. By default the job gets one of its own. */
   readonly runTimes?: RunTimeEstimator;
-  /** Uids of the jobs that must be done before any task of it starts; by default none. */
+  /** Uids of the jobs that must be done before any task of this job starts. By default there are none. */
   readonly dependencies?: readonly string[];
 }
--- a/src/pipeline/job-persistence.ts
+++ b/src/pipeline/job-persistence.ts
@@ -1,19 +1,19 @@
 /**
- * The part of a job that stands in the state store: its last known record, its completed tasks, and which of them are
- * persisted. Completed tasks beyond the first segment have keys of their own (segments), each with its own revision.
+ * The persisted part of a job: its last known record, its completed tasks, and which of these are persisted. The record
+ * holds the first segment of the bitmap of completed tasks. Each further segment has a key and a revision of its own.
  */
 import { COMPLETION_SEGMENT_TASKS } from '../constants.js';
 import { CompletionBitmap } from '../state/completion-bitmap.js';
 import { decodeCompletionSegment, encodeCompletionSegment, type JobRecord } from '../state/records.js';
 import type { WireInt } from '../wire/json.js';
 
-/** A segment of completed tasks as it is written. */
+/** The write of one segment of the bitmap of completed tasks. */
 export interface SegmentWrite {
-  /** Number of the segment, from 1; segment 0 is part of the job's record. */
+  /** Number of the segment, starting at 1. Segment 0 is part of the job's record. */
   readonly segment: number;
-  /** Its bitmap in base64. */
+  /** The bitmap of the segment in base64. */
   readonly text: string;
-  /** Revision at which its key must still stand; 0: there is no such key. */
+  /** The write is applied only if the key still has this revision. 0 means that the key must not exist. */
   readonly modRevision: WireInt;
 }
 
@@ -21,128 +21,129 @@
 export interface JobWrite {
   /** The new value of the job's key. */
   readonly record: JobRecord;
-  /** Revision at which the job's key must still stand. */
+  /** The write is applied only if the job's key still has this revision. */
   readonly modRevision: WireInt;
-  /** The segments of completed tasks that are written along with it. */
+  /** The segments of completed tasks that are written in the same transaction. */
   readonly segments: readonly SegmentWrite[];
 }
 
-/** The parts of a job's record, apart from its completed tasks, that change in a term. */
+/** The fields of a job's record that change during a term, except for the completed tasks. */
 export type JobRecordState = Readonly<Pick<JobRecord, 'phase' | 'memberStates' | 'successor'>>;
 
-/** The persisted state of one job and its writes, of which at most one is in progress. */
+/** The persisted state of one job and the writes to it. At most one write is in progress at a time. */
 export class JobPersistence {
-  private lastRecord: JobRecord;
-  private lastModRevision: WireInt;
+  private knownRecord: JobRecord;
+  private knownModRevision: WireInt;
   private readonly completedTasks: CompletionBitmap;
   private readonly persistedTasks: CompletionBitmap;
-  /** Revision of the key of each segment beyond the first that is known to exist. */
+  /** Revision of the key of each segment beyond the first that is known to be stored. */
   private readonly segmentRevisions = new Map<number, WireInt>();
-  /** Segments beyond the first with completed tasks that no write carries yet. */
+  /** Segments beyond the first with completed tasks that are not part of any write yet. */
   private readonly dirtySegments = new Set<number>();
   private isWriting = false;
-  private notBeforeMs = -Infinity;
+  private noWriteBeforeMs = -Infinity;
 
   constructor(record: JobRecord, modRevision: WireInt) {
-    this.lastRecord = record;
-    this.lastModRevision = modRevision;
+    this.knownRecord = record;
+    this.knownModRevision = modRevision;
     this.completedTasks = new CompletionBitmap(record.tasks);
     this.persistedTasks = new CompletionBitmap(record.tasks);
-    this.mergeCompleted(0, record.completed);
+    this.mergeCompletedTasks(0, record.completed);
   }
 
   /** The record that the state store is known to hold. */
   get record(): JobRecord {
-    return this.lastRecord;
+    return this.knownRecord;
   }
 
-  /** The number of completed tasks, persisted or not. */
-  get completedCount(): number {
+  /** Number of completed tasks, whether persisted or not. */
+  get completedTaskCount(): number {
     return this.completedTasks.completedCount;
   }
 
-  /** Whether a task is completed; the completion may not be persisted yet. */
+  /** Whether a task is completed. The completion may not be persisted yet. */
   isCompleted(task: number): boolean {
     return this.completedTasks.has(task);
   }
 
-  /** Whether the completion of a task is persisted, so that its worker may forget the attempt. */
+  /** Whether the completion of a task is persisted. If so, the worker may discard the attempt. */
   isCompletionPersisted(task: number): boolean {
     return this.persistedTasks.has(task);
   }
 
-  /** Whether a write was sent whose result has not come. */
+  /** Whether a write was sent whose result is not known yet. */
   get writeInProgress(): boolean {
     return this.isWriting;
   }
 
-  /** Wall ms before which nothing is written. */
+  /** Wall time, in milliseconds, before which the job is not written. */
   get writeNotBeforeMs(): number {
-    return this.notBeforeMs;
+    return this.noWriteBeforeMs;
   }
 
-  /** Marks a task as completed. False if it was so before, or the job has no such task. */
-  complete(task: number): boolean {
+  /** Marks a task as completed. Returns false if it was already completed, or if the job has no such task. */
+  markCompleted(task: number): boolean {
     if (!this.completedTasks.add(task)) return false;
     const segment = Math.floor(task / COMPLETION_SEGMENT_TASKS);
     if (segment > 0) this.dirtySegments.add(segment);
     return true;
   }
 
-  /** Takes over a record that was read. False if it is not newer than the one that is known. */
+  /** Applies a record that was read. Returns false and ignores it if it is not newer than the known one. */
   applyRecord(record: JobRecord, modRevision: WireInt): boolean {
-    if (modRevision <= this.lastModRevision) return false;
-    this.lastModRevision = modRevision;
-    this.lastRecord = record;
-    this.mergeCompleted(0, record.completed);
+    if (modRevision <= this.knownModRevision) return false;
+    this.knownModRevision = modRevision;
+    this.knownRecord = record;
+    this.mergeCompletedTasks(0, record.completed);
     return true;
   }
 
-  /** Takes over a segment that was read, unless it is not newer than the one that is known. */
+  /** Applies a segment that was read. Ignores it if it is not newer than the known one. */
   applySegment(segment: number, value: unknown, modRevision: WireInt): void {
-    if (modRevision <= this.segmentRevision(segment)) return;
-    this.mergeCompleted(segment, String(value));
+    if (modRevision <= this.getSegmentRevision(segment)) return;
+    this.mergeCompletedTasks(segment, String(value));
     this.segmentRevisions.set(segment, modRevision);
   }
 
-  /** Whether the state store lacks completed tasks, or holds another state than this one. */
+  /** Whether the state store lacks some completed tasks, or holds a state that differs from the given one. */
   differsFrom({ phase, memberStates, successor }: JobRecordState): boolean {
     return (
       this.dirtySegments.size > 0 ||
-      this.lastRecord.phase !== phase ||
-      this.lastRecord.memberStates !== memberStates ||
-      this.lastRecord.successor !== successor ||
+      this.knownRecord.phase !== phase ||
+      this.knownRecord.memberStates !== memberStates ||
+      this.knownRecord.successor !== successor ||
       this.completedTasks.completedCount !== this.persistedTasks.completedCount
     );
   }
 
   /**
-   * Starts a write of the record and of at most `maxSegments` segments. While segments remain for a later write, the
-   * record keeps its persisted state: the job must not be stored as done before all its completed tasks are.
+   * Starts a write of the record and of at most `maxSegments` segments. If segments remain for a later write, the
+   * record keeps its persisted state, because a job must not be stored as done before all its completed tasks are
+   * stored.
    */
   beginWrite(record: Omit<JobRecord, 'completed'>, maxSegments: number): JobWrite {
     this.isWriting = true;
     const segments = [...this.dirtySegments].slice(0, maxSegments).map((segment): SegmentWrite => ({
       segment,
       text: encodeCompletionSegment(this.completedTasks, segment),
-      modRevision: this.segmentRevision(segment),
+      modRevision: this.getSegmentRevision(segment),
     }));
-    const isPartial = segments.length < this.dirtySegments.size;
+    const hasRemainingSegments = segments.length < this.dirtySegments.size;
     for (const { segment } of segments) this.dirtySegments.delete(segment);
     const completed = encodeCompletionSegment(this.completedTasks, 0);
-    const persistedState = { phase: 'open' as const, memberStates: this.lastRecord.memberStates };
+    const persistedState = { phase: 'open' as const, memberStates: this.knownRecord.memberStates };
     return {
-      record: { ...record, completed, ...(isPartial ? persistedState : {}) },
-      modRevision: this.lastModRevision,
+      record: { ...record, completed, ...(hasRemainingSegments ? persistedState : {}) },
+      modRevision: this.knownModRevision,
       segments,
     };
   }
 
-  /** Ends a write that was applied at this revision. */
+  /** Ends a write that was applied with the given revision. */
   completeWrite({ record, segments }: JobWrite, revision: WireInt): void {
     this.isWriting = false;
-    this.lastModRevision = revision;
-    this.lastRecord = record;
+    this.knownModRevision = revision;
+    this.knownRecord = record;
     decodeCompletionSegment(this.persistedTasks, 0, record.completed);
     for (const { segment, text } of segments) {
       this.segmentRevisions.set(segment, revision);
@@ -150,22 +151,22 @@
     }
   }
 
-  /** Ends a write that was not applied, or of which that is not known: its segments have to be written again. */
+  /** Ends a write that was not applied, or whose outcome is unknown. Its segments have to be written again. */
   abortWrite({ segments }: JobWrite): void {
     this.isWriting = false;
     for (const { segment } of segments) this.dirtySegments.add(segment);
   }
 
-  /** Keeps the job from being written before this wall time in ms. */
+  /** Postpones all writes of the job until the given wall time in milliseconds. */
   postponeWrites(untilWallMs: number): void {
-    this.notBeforeMs = untilWallMs;
+    this.noWriteBeforeMs = untilWallMs;
   }
 
-  private segmentRevision(segment: number): WireInt {
+  private getSegmentRevision(segment: number): WireInt {
     return this.segmentRevisions.get(segment) ?? 0;
   }
 
-  private mergeCompleted(segment: number, text: string): void {
+  private mergeCompletedTasks(segment: number, text: string): void {
     decodeCompletionSegment(this.completedTasks, segment, text);
     decodeCompletionSegment(this.persistedTasks, segment, text);
   }
--- a/src/pipeline/job-pipeline.ts
+++ b/src/pipeline/job-pipeline.ts
@@ -1,55 +1,71 @@
-/** The pipeline (flexible transaction) of a submitted job: spot capacity first, any capacity where that fails. */
+/**
+ * Creates the pipeline (flexible transaction) of a submitted job. A job that allows spot instances uses spot capacity
+ * first, and falls back to any capacity if that fails.
+ */
 import type { JobSpec } from '../state/records.js';
-import { failed, TRUE, type Pipeline } from './pipeline.js';
+import { ALWAYS_TRUE, failed, type Pipeline } from './pipeline.js';
 
-/** The member that scales out with spot instances alone. Free capacity of either kind is used in any case. */
-export const SPOT_MEMBER = 'spot';
+/** The member that scales out with spot instances only. It may still use free capacity of either kind. */
+export const SPOT_CAPACITY_MEMBER = 'spot';
 
-/** The member that scales out with spot or on-demand instances. */
-export const ANY_MEMBER = 'any';
+/** The member that may scale out with spot and on-demand instances. */
+export const ANY_CAPACITY_MEMBER = 'any';
 
-/** A service-level objective of the settings: a share of the jobs of a class completes within a multiple of its deadline. */
+/**
+ * A service-level objective from the settings. It requires that a share of the jobs of a class completes within a
+ * multiple of their deadlines.
+ */
 export interface DeadlineObjective {
-  /** Name of the class. */
+  /** Name of the job class. */
   readonly jobClass: string;
-  /** Share of the jobs, from 0 to 1. */
+  /** Required share of the jobs, from 0 to 1. */
   readonly share: number;
-  /** Ratio to the deadline of each job. */
+  /** Multiple of the deadline of each job within which it must complete. */
   readonly deadlineFactor: number;
 }
 
-/** What of its specification decides on a job's pipeline. */
+/** The fields of a job's specification that determine its pipeline. */
 type PipelineSpec = Pick<JobSpec, 'spot' | 'deadlineS' | 'jobClass'>;
 
-const WITH_SPOT: Pick<Pipeline, 'members' | 'acceptableStates'> = {
+const SPOT_FIRST_PIPELINE: Pick<Pipeline, 'members' | 'acceptableStates'> = {
   members: [
-    { name: SPOT_MEMBER, predecessors: [], predicate: TRUE },
-    { name: ANY_MEMBER, predecessors: [SPOT_MEMBER], predicate: failed(SPOT_MEMBER) },
+    { name: SPOT_CAPACITY_MEMBER, predecessors: [], predicate: ALWAYS_TRUE },
+    {
+      name: ANY_CAPACITY_MEMBER,
+      predecessors: [SPOT_CAPACITY_MEMBER],
+      predicate: failed(SPOT_CAPACITY_MEMBER),
+    },
   ],
   acceptableStates: ['SN', 'FS'],
 };
 
-const WITHOUT_SPOT: Pick<Pipeline, 'members' | 'acceptableStates'> = {
-  members: [{ name: ANY_MEMBER, predecessors: [], predicate: TRUE }],
+const ANY_CAPACITY_PIPELINE: Pick<Pipeline, 'members' | 'acceptableStates'> = {
+  members: [{ name: ANY_CAPACITY_MEMBER, predecessors: [], predicate: ALWAYS_TRUE }],
   acceptableStates: ['S'],
 };
 
-/** The pipeline of a job; the objectives of its class are the steps of the value function. */
-export function pipelineOfJob(spec: PipelineSpec, objectives: readonly DeadlineObjective[]): Pipeline {
-  const undated = successorOfJob(spec);
+/** Creates the pipeline of a job. Each objective of its class becomes a step of the value function. */
+export function createJobPipeline(spec: PipelineSpec, objectives: readonly DeadlineObjective[]): Pipeline {
+  const pipelineWithoutDeadline = createSuccessorPipeline(spec);
   const { deadlineS, jobClass } = spec;
-  if (deadlineS === null) return undated;
-  const steps = objectives
+  if (deadlineS === null) return pipelineWithoutDeadline;
+  const valueSteps = objectives
     .filter((objective) => objective.jobClass === jobClass)
     .sort((a, b) => a.deadlineFactor - b.deadlineFactor)
-    .map(({ deadlineFactor }, index, all) => ({
+    .map(({ deadlineFactor }, index, matchingObjectives) => ({
       untilS: deadlineS * deadlineFactor,
-      value: 1 - index / all.length,
+      value: 1 - index / matchingObjectives.length,
     }));
-  return { ...undated, valueSteps: steps.length > 0 ? steps : [{ untilS: deadlineS, value: 1 }] };
+  return {
+    ...pipelineWithoutDeadline,
+    valueSteps: valueSteps.length > 0 ? valueSteps : [{ untilS: deadlineS, value: 1 }],
+  };
 }
 
-/** The pipeline that adopts the running tasks of a job after its last deadline: the same one without a value function. */
-export function successorOfJob(spec: Pick<JobSpec, 'spot'>): Pipeline {
-  return { ...(spec.spot ? WITH_SPOT : WITHOUT_SPOT), valueSteps: [] };
+/**
+ * Creates the pipeline that takes over the running tasks of a job after its last deadline. It is the job's pipeline
+ * without a value function.
+ */
+export function createSuccessorPipeline(spec: Pick<JobSpec, 'spot'>): Pipeline {
+  return { ...(spec.spot ? SPOT_FIRST_PIPELINE : ANY_CAPACITY_PIPELINE), valueSteps: [] };
 }
--- a/src/pipeline/job.ts
+++ b/src/pipeline/job.ts
@@ -1,46 +1,51 @@
 /**
- * A job as the leader holds it: its phase, its pipeline and its priority. Its allocations, the progress of its tasks, its
- * waits and its persisted state have modules of their own. State is changed by named transitions alone.
+ * A job in the memory of the leader, with its phase, pipeline and priority. Its allocations, the progress of its tasks,
+ * its queue times and its persisted state are in separate modules. Its state changes only through named methods.
  */
 import { DEPENDENT_START_DELAY_MS, MIN_RUN_TIME_SHARE } from '../constants.js';
 import type { JobPhase, JobSpec, Rank } from '../state/records.js';
-import { earlierDeadlines, higherRank, type Priority, type PriorityMember } from './inherited-priority.js';
+import { higherRank, minDeadlines, type Priority, type PrioritizedJob } from './inherited-priority.js';
 import { JobAllocations, type TaskAttempt } from './job-allocations.js';
 import type { JobOptions } from './job-options.js';
 import { JobPersistence, type JobRecordState, type JobWrite } from './job-persistence.js';
-import { ANY_MEMBER, SPOT_MEMBER, pipelineOfJob, successorOfJob } from './job-pipeline.js';
+import {
+  ANY_CAPACITY_MEMBER,
+  createJobPipeline,
+  createSuccessorPipeline,
+  SPOT_CAPACITY_MEMBER,
+} from './job-pipeline.js';
 import { JobProgress } from './job-progress.js';
 import { isExecuting, type MemberStates, type PipelineEnding } from './pipeline.js';
 import { PipelineExecution } from './pipeline-execution.js';
 import { QueueTimes } from './queue-times.js';
 import { RunTimeEstimator } from './run-time-estimator.js';
 
-/** A job with a specification. `Attempt` is what stands on a node for one of its tasks. */
-export class Job<Attempt extends TaskAttempt> implements PriorityMember, JobRecordState {
-  /** Identifies the job; part of its key in the state store. */
+/** A job with a specification. `Attempt` is the type of the attempts to run its tasks on nodes. */
+export class Job<Attempt extends TaskAttempt> implements PrioritizedJob, JobRecordState {
+  /** Identifies the job. It is part of the job's key in the state store. */
   readonly uid: string;
-  /** What its user asked for. */
+  /** The specification that the user submitted. */
   readonly spec: JobSpec;
-  /** Uids of the jobs that must be done before any task of it starts. */
+  /** Uids of the jobs that must be done before any task of this job starts. */
   readonly dependencies: readonly string[];
   /** Its priority as it was submitted. */
   readonly ownPriority: Priority;
-  /** Whether an earlier term may have started tasks of it: nodes that are not reconciled yet may run them. */
+  /** Whether an earlier term may have started its tasks. If so, nodes that are not reconciled yet may run them. */
   readonly startedInEarlierTerm: boolean;
 
-  /** Its record and completed tasks in the state store, and the writes of these. */
+  /** The job's record and completed tasks in the state store, and the writes to them. */
   readonly persistence: JobPersistence;
-  /** Run times and failures of its tasks. */
+  /** The run times and failures of its tasks. */
   readonly progress: JobProgress;
-  /** Since when it waits. */
+  /** The times since which the job waits, for its dependencies or for capacity. */
   readonly queueTimes = new QueueTimes();
 
-  private readonly allocated: JobAllocations<Attempt>;
-  private readonly execution: PipelineExecution;
+  private readonly jobAllocations: JobAllocations<Attempt>;
+  private readonly pipelineExecution: PipelineExecution;
   private currentPhase: JobPhase;
-  private hasSuccessor: boolean;
+  private isRunningSuccessor: boolean;
   private finishedAtMs: number | undefined;
-  private highestInherited: Priority | undefined;
+  private highestInheritedPriority: Priority | undefined;
   private shouldAvoidSpot = false;
 
   constructor(options: JobOptions) {
@@ -50,22 +55,24 @@
     this.dependencies = options.dependencies ?? [];
     this.startedInEarlierTerm = isExecuting(record.memberStates);
     this.persistence = new JobPersistence(record, modRevision);
-    this.allocated = new JobAllocations(spec.tasks, this.persistence);
+    this.jobAllocations = new JobAllocations(spec.tasks, this.persistence);
     this.progress = new JobProgress(uid, spec, options.runTimes ?? new RunTimeEstimator());
     this.currentPhase = record.phase;
-    this.hasSuccessor = record.successor;
-    const dated = pipelineOfJob(spec, objectives);
-    this.execution = new PipelineExecution(
-      record.successor ? successorOfJob(spec) : dated,
+    this.isRunningSuccessor = record.successor;
+    const pipelineWithDeadlines = createJobPipeline(spec, objectives);
+    this.pipelineExecution = new PipelineExecution(
+      record.successor ? createSuccessorPipeline(spec) : pipelineWithDeadlines,
       record.memberStates,
     );
-    const deadlinesMs = dated.valueSteps.map((step) => record.acceptedMs + step.untilS * 1000);
+    const deadlinesMs = pipelineWithDeadlines.valueSteps.map(
+      (step) => record.acceptedMs + step.untilS * 1000,
+    );
     this.ownPriority = { rank: spec.rank, deadlinesMs };
   }
 
   // --- phase and pipeline ----------------------------------------------------------------------------
 
-  /** Whether the job goes on, is done, or was cancelled. */
+  /** Whether the job is open, done or cancelled. */
   get phase(): JobPhase {
     return this.currentPhase;
   }
@@ -80,195 +87,210 @@
     return this.spec.kind === 'service';
   }
 
-  /** The state of each member of its pipeline. */
+  /** The states of the members of its pipeline. */
   get memberStates(): MemberStates {
-    return this.execution.memberStates;
+    return this.pipelineExecution.memberStates;
   }
 
-  /** Whether its deadlines have passed and the undated successor of its pipeline runs. */
+  /** Whether the job's deadlines have passed, so that it now runs the successor pipeline without deadlines. */
   get successor(): boolean {
-    return this.hasSuccessor;
+    return this.isRunningSuccessor;
   }
 
-  /** Whether the start of its tasks is persisted, as it must be before the first of them starts. */
+  /** Whether the state store records that its tasks may have started. This must be so before the first task starts. */
   get isExecutionPersisted(): boolean {
-    return this.execution.isExecuting && isExecuting(this.persistence.record.memberStates);
+    return this.pipelineExecution.isExecuting && isExecuting(this.persistence.record.memberStates);
   }
 
-  /** Whether on-demand instances may be launched for it. */
+  /** Whether on-demand instances may be launched for the job. */
   get mayLaunchOnDemand(): boolean {
-    return this.execution.stateOf(ANY_MEMBER) === 'E';
+    return this.pipelineExecution.getMemberState(ANY_CAPACITY_MEMBER) === 'E';
   }
 
-  /** Whether only spot instances are to be launched for it. */
+  /** Whether only spot instances may be launched for the job. */
   get prefersSpot(): boolean {
-    return this.spec.spot && this.execution.stateOf(SPOT_MEMBER) === 'E';
+    return this.spec.spot && this.pipelineExecution.getMemberState(SPOT_CAPACITY_MEMBER) === 'E';
   }
 
-  /** Submits the members of its pipeline that are executable now. */
+  /** Submits the members of its pipeline that are currently executable. */
   submitExecutableMembers(): void {
-    this.execution.submitExecutableMembers();
+    this.pipelineExecution.submitExecutableMembers();
   }
 
-  /** Lets on-demand instances be launched for a job that preferred spot instances. */
+  /** Allows on-demand instances for a job that preferred spot instances. */
   fallBackFromSpot(): void {
-    if (this.prefersSpot) this.execution.failMember(SPOT_MEMBER);
+    if (this.prefersSpot) this.pipelineExecution.failMember(SPOT_CAPACITY_MEMBER);
   }
 
-  /** Ends its pipeline if that is due. Returns how it ended; undefined: it goes on, or the job was over before. */
+  /**
+   * Ends the job's pipeline if it is due to end. Returns how it ended, or undefined if it goes on or the job was
+   * already done or cancelled.
+   */
   updateEnding(wallMs: number): PipelineEnding | undefined {
     if (!this.isOpen) return undefined;
     if (!this.isService && this.unfinishedTasks === 0) {
-      if (!this.execution.isExecuting) this.execution.submitExecutableMembers();
-      this.execution.succeedExecutingMembers();
+      if (!this.pipelineExecution.isExecuting) this.pipelineExecution.submitExecutableMembers();
+      this.pipelineExecution.succeedExecutingMembers();
     }
-    const ending = this.execution.endingAt((wallMs - this.acceptedMs) / 1000);
+    const ending = this.pipelineExecution.determineEnding((wallMs - this.acceptedMs) / 1000);
     if (ending === 'acceptable') {
       this.currentPhase = 'done';
       this.finishedAtMs = wallMs;
     } else if (ending === 'expired') {
-      this.hasSuccessor = true;
-      this.execution.replaceWith(successorOfJob(this.spec));
+      this.isRunningSuccessor = true;
+      this.pipelineExecution.replaceWith(createSuccessorPipeline(this.spec));
     }
     return ending;
   }
 
-  /** Cancels the job. False if it was cancelled before. */
+  /** Cancels the job. Returns false if it was already cancelled. */
   cancel(): boolean {
     if (this.currentPhase === 'cancelled') return false;
     this.currentPhase = 'cancelled';
     return true;
   }
 
-  // --- priority and place in the queue ---------------------------------------------------------------
+  // --- priority and position in the queue ------------------------------------------------------------
 
-  /** Wall ms at which a controller accepted the job. */
+  /** Wall time, in milliseconds, at which a controller accepted the job. */
   get acceptedMs(): number {
     return this.persistence.record.acceptedMs;
   }
 
-  /** Whether it has to wait for other jobs; so also where the list of these can't be read. */
+  /** Whether the job depends on other jobs. This is known even if the list of these jobs can't be read. */
   get hasDependencies(): boolean {
     return this.dependencies.length > 0 || this.spec.dependencyList !== undefined;
   }
 
-  /** The highest priority that its dependents have passed on to it; undefined: none has. */
+  /** The highest priority inherited from its dependents. Undefined if it has not inherited any. */
   get inheritedPriority(): Priority | undefined {
-    return this.highestInherited;
+    return this.highestInheritedPriority;
   }
 
-  /** Replaces the inherited priority by a higher one. */
+  /** Replaces the inherited priority with a higher one. */
   inheritPriority(priority: Priority): void {
-    this.highestInherited = priority;
+    this.highestInheritedPriority = priority;
   }
 
-  /** The highest rank among itself and its dependents. */
+  /** The highest rank among the job and its dependents. */
   get rank(): Rank {
     const { rank } = this.spec;
-    return this.highestInherited ? higherRank(rank, this.highestInherited.rank) : rank;
+    return this.highestInheritedPriority ? higherRank(rank, this.highestInheritedPriority.rank) : rank;
   }
 
-  /** Ms that it is expected to take once all its dependencies are done. */
+  /** Expected duration, in milliseconds, from the end of its last dependency to its own end. */
   get expectedDurationMs(): number {
     return this.progress.expectedRunTimeS * 1000 + DEPENDENT_START_DELAY_MS;
   }
 
-  /** Wall ms of the earliest deadline of itself and its dependents; Infinity: there is none. */
+  /**
+   * Wall time, in milliseconds, of the earliest deadline among the job and its dependents. Infinity if none of them has
+   * a deadline.
+   */
   get earliestDeadlineMs(): number {
     const { deadlineS } = this.spec;
-    const own = deadlineS === null ? Infinity : this.acceptedMs + deadlineS * 1000;
-    return Math.min(own, this.highestInherited?.deadlinesMs[0] ?? Infinity);
+    const ownDeadlineMs = deadlineS === null ? Infinity : this.acceptedMs + deadlineS * 1000;
+    return Math.min(ownDeadlineMs, this.highestInheritedPriority?.deadlinesMs[0] ?? Infinity);
   }
 
   /**
-   * Wall ms of the deadline by which it is queued: the end of the first step of the value function that can still be
-   * reached, or Infinity. A deadline that can't be met any more must not delay jobs whose deadlines can.
+   * Returns the wall time, in milliseconds, of the deadline that determines the job's position in the queue. This is
+   * the end of the first step of the value function that can still be met, or Infinity if there is none. A deadline
+   * that can no longer be met must not delay jobs whose deadlines can still be met.
    */
   schedulingDeadlineMs(wallMs: number): number {
-    const neededMs = this.pendingTasks > 0 ? this.spec.estimatedRunS * 1000 * MIN_RUN_TIME_SHARE : 0;
-    const own = this.execution.valueSteps.map((step) => this.acceptedMs + step.untilS * 1000);
-    const inherited = this.highestInherited;
-    const deadlinesMs = inherited ? earlierDeadlines(own, inherited.deadlinesMs) : own;
-    return deadlinesMs.find((deadlineMs) => wallMs + neededMs <= deadlineMs) ?? Infinity;
+    const minRunTimeMs = this.pendingTasks > 0 ? this.spec.estimatedRunS * 1000 * MIN_RUN_TIME_SHARE : 0;
+    const ownDeadlinesMs = this.pipelineExecution.valueSteps.map(
+      (step) => this.acceptedMs + step.untilS * 1000,
+    );
+    const inheritedPriority = this.highestInheritedPriority;
+    const deadlinesMs = inheritedPriority
+      ? minDeadlines(ownDeadlinesMs, inheritedPriority.deadlinesMs)
+      : ownDeadlinesMs;
+    return deadlinesMs.find((deadlineMs) => wallMs + minRunTimeMs <= deadlineMs) ?? Infinity;
   }
 
-  /** Wall ms since when it may run: it is accepted, and all its dependencies are done. */
+  /** Wall time, in milliseconds, since which the job is accepted and all its dependencies are done. */
   get queuedMs(): number {
     const { dependenciesMetMs } = this.queueTimes;
     return Number.isNaN(dependenciesMetMs) ? this.acceptedMs : dependenciesMetMs;
   }
 
-  /** Whether spot instances are interrupted too often for its deadline. */
+  /** Whether the job avoids spot instances because they are interrupted too often for its deadline. */
   get avoidsSpot(): boolean {
     return this.shouldAvoidSpot;
   }
 
-  /** Sets whether spot instances are interrupted too often for its deadline. */
+  /** Sets whether the job avoids spot instances because they are interrupted too often for its deadline. */
   setAvoidsSpot(avoidsSpot: boolean): void {
     this.shouldAvoidSpot = avoidsSpot;
   }
 
   // --- tasks and allocations -------------------------------------------------------------------------
 
-  /** The number of tasks that are neither completed nor allocated. */
+  /** Number of tasks that are neither completed nor allocated. */
   get pendingTasks(): number {
     return this.unfinishedTasks - this.allocations.size;
   }
 
-  /** The number of tasks that are not completed. */
+  /** Number of tasks that are not completed. */
   get unfinishedTasks(): number {
-    return this.spec.tasks - this.persistence.completedCount;
+    return this.spec.tasks - this.persistence.completedTaskCount;
   }
 
-  /** The attempt of each task that is, or may be, on a node, or is planned for one; by task number. */
+  /** The attempts that are, may be, or are planned to be on a node, by task number. */
   get allocations(): ReadonlyMap<number, Attempt> {
-    return this.allocated.attempts;
+    return this.jobAllocations.attempts;
   }
 
-  /** The number of allocated tasks per zone; zones without any are absent. */
+  /** Number of allocated tasks per zone. Zones without allocated tasks are absent. */
   get allocationsPerZone(): ReadonlyMap<string, number> {
-    return this.allocated.perZone;
+    return this.jobAllocations.allocationsPerZone;
   }
 
-  /** The first pending task at or after `from`, or -1 if there is none. */
-  nextPendingTask(from = 0): number {
-    return this.allocated.nextPendingTask(from);
+  /** Returns the number of the first pending task at or after `fromTask`, or -1 if there is none. */
+  findNextPendingTask(fromTask = 0): number {
+    return this.jobAllocations.findNextPendingTask(fromTask);
   }
 
-  /** Makes the attempt the one of its task. */
+  /** Allocates the attempt's task to this attempt. */
   addAllocation(attempt: Attempt, zone: string): void {
-    this.allocated.add(attempt, zone);
+    this.jobAllocations.add(attempt, zone);
   }
 
-  /** Makes the attempt's task pending again, unless it is a second one beside that of the task. */
+  /** Makes the attempt's task pending again, unless the task is allocated to another attempt. */
   removeAllocation(attempt: Attempt, zone: string): void {
-    this.allocated.remove(attempt, zone);
+    this.jobAllocations.remove(attempt, zone);
   }
 
   /** Marks a task as completed. */
   completeTask(task: number): void {
-    if (this.persistence.complete(task)) this.progress.recordCompletion();
+    if (this.persistence.markCompleted(task)) this.progress.recordCompletion();
   }
 
   // --- persisted state -------------------------------------------------------------------------------
 
-  /** Whether the state store holds another state of it than this one. */
+  /** Whether the state store holds an outdated state of the job. */
   get needsWrite(): boolean {
     const { phase, spec } = this.persistence.record;
-    // A cancelled job keeps its specification until no task of it is left, so that a new leader counts these.
+    // A cancelled job stays stored with its specification until none of its tasks is left on a node, so that a new
+    // leader accounts for these tasks.
     if (phase === 'cancelled') return spec !== undefined && this.allocations.size === 0;
     return phase !== 'done' && this.persistence.differsFrom(this);
   }
 
-  /** Starts a write of it, with at most so many segments of completed tasks. `persistence` takes the result. */
+  /**
+   * Starts a write of the job with at most `maxSegments` segments of completed tasks. The result of the write must be
+   * passed to `persistence`.
+   */
   beginWrite(maxSegments: number): JobWrite {
-    const isDescribed = this.isOpen || this.allocations.size > 0;
+    const shouldKeepSpec = this.isOpen || this.allocations.size > 0;
     const record = {
       phase: this.currentPhase,
       memberStates: this.memberStates,
-      successor: this.hasSuccessor,
+      successor: this.isRunningSuccessor,
       tasks: this.spec.tasks,
-      spec: isDescribed ? this.spec : undefined,
+      spec: shouldKeepSpec ? this.spec : undefined,
       acceptedMs: this.acceptedMs,
       ...(this.finishedAtMs === undefined ? {} : { finishedMs: this.finishedAtMs }),
     };
--- a/src/pipeline/pipeline-execution.ts
+++ b/src/pipeline/pipeline-execution.ts
@@ -1,10 +1,10 @@
-/** The execution of one pipeline: the states of its members, moved by submissions, successes and failures. */
+/** The execution of one pipeline. Submissions, successes and failures change the states of its members. */
 import {
-  endingOf,
-  executableMembers,
-  initialStates,
+  createInitialStates,
+  determineEnding,
+  findExecutableMembers,
+  getMemberState,
   isExecuting,
-  stateOfMember,
   withMemberState,
   type MemberState,
   type MemberStates,
@@ -13,14 +13,14 @@
   type ValueStep,
 } from './pipeline.js';
 
-/** A pipeline with the current state of each member. */
+/** A pipeline with the current states of its members. */
 export class PipelineExecution {
   constructor(
     private pipeline: Pipeline,
     private states: MemberStates,
   ) {}
 
-  /** The state of each member, in the order of the pipeline. */
+  /** The states of the members, in the order of the pipeline. */
   get memberStates(): MemberStates {
     return this.states;
   }
@@ -36,43 +36,45 @@
   }
 
   /**
-   * The state of one member.
+   * Returns the state of one member.
    * @throws {UnknownPipelineMemberError} if the pipeline has no such member.
    */
-  stateOf(member: string): MemberState {
-    return stateOfMember(this.pipeline, this.states, member);
+  getMemberState(memberName: string): MemberState {
+    return getMemberState(this.pipeline, this.states, memberName);
   }
 
-  /** Submits every member that is executable now. */
+  /** Submits every member that is currently executable. */
   submitExecutableMembers(): void {
-    for (const member of executableMembers(this.pipeline, this.states)) this.move(member, 'E');
+    for (const memberName of findExecutableMembers(this.pipeline, this.states))
+      this.setMemberState(memberName, 'E');
   }
 
-  /** Fails a member and submits the alternatives that this makes executable. */
-  failMember(member: string): void {
-    this.move(member, 'F');
+  /** Marks a member as failed and submits the alternatives that thereby become executable. */
+  failMember(memberName: string): void {
+    this.setMemberState(memberName, 'F');
     this.submitExecutableMembers();
   }
 
-  /** Lets every member that is being executed succeed. */
+  /** Marks every member that is being executed as succeeded. */
   succeedExecutingMembers(): void {
-    for (const { name } of this.pipeline.members) if (this.stateOf(name) === 'E') this.move(name, 'S');
+    for (const { name } of this.pipeline.members)
+      if (this.getMemberState(name) === 'E') this.setMemberState(name, 'S');
   }
 
-  /** How the pipeline ends `ageS` seconds after its submission, or undefined while it goes on. */
-  endingAt(ageS: number): PipelineEnding | undefined {
-    return endingOf(this.pipeline, this.states, ageS);
+  /** Returns how the pipeline ends `ageS` seconds after its submission, or undefined if it goes on. */
+  determineEnding(ageS: number): PipelineEnding | undefined {
+    return determineEnding(this.pipeline, this.states, ageS);
   }
 
-  /** Goes on with another pipeline from its initial state; it is submitted if this one was being executed. */
+  /** Replaces the pipeline with a successor in its initial state, and submits it if the old one was being executed. */
   replaceWith(successor: Pipeline): void {
     const wasExecuting = this.isExecuting;
     this.pipeline = successor;
-    this.states = initialStates(successor);
+    this.states = createInitialStates(successor);
     if (wasExecuting) this.submitExecutableMembers();
   }
 
-  private move(member: string, state: MemberState): void {
-    this.states = withMemberState(this.pipeline, this.states, member, state);
+  private setMemberState(memberName: string, state: MemberState): void {
+    this.states = withMemberState(this.pipeline, this.states, memberName, state);
   }
 }
--- a/src/pipeline/pipeline.ts
+++ b/src/pipeline/pipeline.ts
@@ -1,84 +1,93 @@
 /**
- * Flexible transactions (InterBase, sections 3.1 and 3.2) as pure functions: a pipeline has members with precedence
- * predicates and a partial order, the acceptable combinations of their states, and a value function of steps.
+ * Pure functions for flexible transactions (InterBase, sections 3.1 and 3.2). A pipeline has members with precedence
+ * predicates and a partial order, a list of acceptable combinations of their states, and a stepwise value function.
  */
 
 import { assertNever } from '@pumicehinge/runtime';
 
-/** State of a member, by the paper's letters: not submitted (N), being executed (E), succeeded (S), failed (F). */
+/**
+ * State of a member, with the letters of the paper: N for not submitted, E for being executed, S for succeeded, F for
+ * failed.
+ */
 export type MemberState = 'N' | 'E' | 'S' | 'F';
 
-/** The states of all members of a pipeline, one letter each, in the order of the members. */
+/** The states of all members of a pipeline, with one letter per member, in the order of the members. */
 export type MemberStates = string;
 
-/** A predicate over the states of a pipeline's members, built from the paper's two basic dependencies. */
+/** A predicate over the states of a pipeline's members, built from the two basic dependencies of the paper. */
 export type Predicate =
   | { readonly kind: 'true' }
-  /** Positive dependency: the member succeeded. */
+  /** Positive dependency. It holds if the member succeeded. */
   | { readonly kind: 'succeeded'; readonly member: string }
-  /** Negative dependency: the member failed. */
+  /** Negative dependency. It holds if the member failed. */
   | { readonly kind: 'failed'; readonly member: string }
   | { readonly kind: 'and'; readonly operands: readonly Predicate[] }
   | { readonly kind: 'or'; readonly operands: readonly Predicate[] };
 
-/** A step of a pipeline that is submitted, and succeeds or fails, as a whole. */
+/** A part of a pipeline that is submitted as a whole, and succeeds or fails as a whole. */
 export interface PipelineMember {
-  /** Unique within the pipeline. */
+  /** Name that is unique within the pipeline. */
   readonly name: string;
   /** Names of the members that precede this one in the partial order. */
   readonly predecessors: readonly string[];
-  /** What must hold for this member to be submitted. */
+  /** Predicate that must hold for this member to be submitted. */
   readonly predicate: Predicate;
 }
 
 /** A step of a value function. */
 export interface ValueStep {
-  /** Seconds since submission up to which completion has this value. */
+  /** Age of the pipeline, in seconds since its submission, up to which completion has this value. */
   readonly untilS: number;
-  /** From 0 to 1. */
+  /** Value of the completion, from 0 to 1. */
   readonly value: number;
 }
 
 /** A flexible transaction. */
 export interface Pipeline {
-  /** In the order of the letters of `MemberStates`. */
+  /** The members, in the order of the letters of `MemberStates`. */
   readonly members: readonly PipelineMember[];
-  /** The states of the members in which the objective is reached. */
+  /** The combinations of member states in which the objective of the pipeline is reached. */
   readonly acceptableStates: readonly MemberStates[];
-  /** Falling steps; after the last, t0, completion has no value. Empty: there is no t0. */
+  /**
+   * The steps of the value function, with increasing times and decreasing values. Completion has no value after the
+   * last step, whose time is called t0. Empty if there is no t0.
+   */
   readonly valueSteps: readonly ValueStep[];
 }
 
-/** How a pipeline ends: with its objective reached, with nothing left to execute, or after t0. */
+/**
+ * How a pipeline ends. It is `acceptable` if its objective is reached, `stuck` if no member is left to execute, and
+ * `expired` after t0.
+ */
 export type PipelineEnding = 'acceptable' | 'stuck' | 'expired';
 
-/** A member was named that its pipeline does not have. */
+/** Thrown if a pipeline has no member with the given name. */
 export class UnknownPipelineMemberError extends Error {
   override readonly name = 'UnknownPipelineMemberError';
 
-  /** `member`: the name that the pipeline does not have. */
+  /** Creates the error for `member`, the name that the pipeline does not have. */
   constructor(readonly member: string) {
     super(`the pipeline has no member ${member}`);
   }
 }
 
-/** The predicate of a member that may be submitted at once. */
-export const TRUE: Predicate = { kind: 'true' };
+/** The predicate of a member that may be submitted immediately. */
+export const ALWAYS_TRUE: Predicate = { kind: 'true' };
 
-/** Holds once the member succeeded. */
+/** Creates a predicate that holds once the member succeeded. */
 export const succeeded = (member: string): Predicate => ({ kind: 'succeeded', member });
 
-/** Holds once the member failed. */
+/** Creates a predicate that holds once the member failed. */
 export const failed = (member: string): Predicate => ({ kind: 'failed', member });
 
-/** Holds while all operands do. */
+/** Creates a predicate that holds while all operands hold. */
 export const and = (...operands: readonly Predicate[]): Predicate => ({ kind: 'and', operands });
 
-/** Holds while one of the operands does. */
+/** Creates a predicate that holds while at least one of the operands holds. */
 export const or = (...operands: readonly Predicate[]): Predicate => ({ kind: 'or', operands });
 
-/** The states of a pipeline of which nothing was submitted yet. */
-export function initialStates(pipeline: Pipeline): MemberStates {
+/** Returns the states of a pipeline of which no member was submitted yet. */
+export function createInitialStates(pipeline: Pipeline): MemberStates {
   return 'N'.repeat(pipeline.members.length);
 }
 
@@ -88,36 +97,36 @@
 }
 
 /**
- * The state of one member.
+ * Returns the state of one member.
  * @throws {UnknownPipelineMemberError} if the pipeline has no such member.
  */
-export function stateOfMember(pipeline: Pipeline, states: MemberStates, member: string): MemberState {
-  return states[indexOf(pipeline, member)] as MemberState;
+export function getMemberState(pipeline: Pipeline, states: MemberStates, memberName: string): MemberState {
+  return states[getMemberIndex(pipeline, memberName)] as MemberState;
 }
 
 /**
- * The states after one member has moved to another.
+ * Returns the states of all members after the state of one member is replaced.
  * @throws {UnknownPipelineMemberError} if the pipeline has no such member.
  */
 export function withMemberState(
   pipeline: Pipeline,
   states: MemberStates,
-  member: string,
+  memberName: string,
   state: MemberState,
 ): MemberStates {
-  const index = indexOf(pipeline, member);
+  const index = getMemberIndex(pipeline, memberName);
   return states.slice(0, index) + state + states.slice(index + 1);
 }
 
-/** Whether a predicate holds in these states. */
+/** Whether a predicate holds if the members are in the given states. */
 export function isPredicateTrue(pipeline: Pipeline, states: MemberStates, predicate: Predicate): boolean {
   switch (predicate.kind) {
     case 'true':
       return true;
     case 'succeeded':
-      return stateOfMember(pipeline, states, predicate.member) === 'S';
+      return getMemberState(pipeline, states, predicate.member) === 'S';
     case 'failed':
-      return stateOfMember(pipeline, states, predicate.member) === 'F';
+      return getMemberState(pipeline, states, predicate.member) === 'F';
     case 'and':
       return predicate.operands.every((operand) => isPredicateTrue(pipeline, states, operand));
     case 'or':
@@ -128,12 +137,12 @@
 }
 
 /**
- * The names of the members that can be submitted now (definition 5): not submitted yet, each predecessor executed or
- * with a false predicate, the member's own predicate true.
+ * Returns the names of the members that can be submitted now (definition 5). Such a member is not submitted yet, its
+ * own predicate holds, and each predecessor has succeeded or failed, or has a predicate that does not hold.
  */
-export function executableMembers(pipeline: Pipeline, states: MemberStates): string[] {
-  const isPassed = (name: string): boolean => {
-    const index = indexOf(pipeline, name);
+export function findExecutableMembers(pipeline: Pipeline, states: MemberStates): string[] {
+  const isPredecessorPassed = (name: string): boolean => {
+    const index = getMemberIndex(pipeline, name);
     const predecessor = pipeline.members[index];
     if (states[index] === 'S' || states[index] === 'F') return true;
     return predecessor !== undefined && !isPredicateTrue(pipeline, states, predecessor.predicate);
@@ -141,44 +150,56 @@
   return pipeline.members
     .filter(
       ({ predecessors, predicate }, index) =>
-        states[index] === 'N' && predecessors.every(isPassed) && isPredicateTrue(pipeline, states, predicate),
+        states[index] === 'N' &&
+        predecessors.every(isPredecessorPassed) &&
+        isPredicateTrue(pipeline, states, predicate),
     )
     .map((member) => member.name);
 }
 
-/** t0 of the paper: seconds since submission after which completion has no value; null: there is no such time. */
-export function expiryS(pipeline: Pipeline): number | null {
+/**
+ * Returns the age t0 of the paper: the seconds since submission after which completion has no value. Null if completion
+ * never loses its value.
+ */
+export function getExpiryAgeS(pipeline: Pipeline): number | null {
   return pipeline.valueSteps.at(-1)?.untilS ?? null;
 }
 
-/** The value of completing a pipeline `ageS` seconds after its submission. */
-export function valueAt(pipeline: Pipeline, ageS: number): number {
+/** Returns the value of completing a pipeline `ageS` seconds after its submission. */
+export function getCompletionValue(pipeline: Pipeline, ageS: number): number {
   if (pipeline.valueSteps.length === 0) return 1;
   return pipeline.valueSteps.find((step) => ageS <= step.untilS)?.value ?? 0;
 }
 
 /**
- * How a pipeline in these states ends `ageS` seconds after its submission, or undefined while it goes on (section 3.2,
- * rule 4).
+ * Returns how a pipeline in the given states ends `ageS` seconds after its submission, or undefined if it goes on
+ * (section 3.2, rule 4).
  */
-export function endingOf(pipeline: Pipeline, states: MemberStates, ageS: number): PipelineEnding | undefined {
+export function determineEnding(
+  pipeline: Pipeline,
+  states: MemberStates,
+  ageS: number,
+): PipelineEnding | undefined {
   if (pipeline.acceptableStates.includes(states)) return 'acceptable';
-  const expiryAgeS = expiryS(pipeline);
+  const expiryAgeS = getExpiryAgeS(pipeline);
   if (expiryAgeS !== null && ageS >= expiryAgeS) return 'expired';
-  if (!isExecuting(states) && executableMembers(pipeline, states).length === 0) return 'stuck';
+  if (!isExecuting(states) && findExecutableMembers(pipeline, states).length === 0) return 'stuck';
   return undefined;
 }
 
-const indexesPerPipeline = new WeakMap<Pipeline, ReadonlyMap<string, number>>();
+const memberIndexesByPipeline = new WeakMap<Pipeline, ReadonlyMap<string, number>>();
 
-/** Position of a member. The names are indexed once per pipeline, as it may have thousands of members. */
-function indexOf(pipeline: Pipeline, member: string): number {
-  let indexes = indexesPerPipeline.get(pipeline);
+/**
+ * Returns the position of a member. The names are indexed once per pipeline, because a pipeline may have thousands of
+ * members.
+ */
+function getMemberIndex(pipeline: Pipeline, memberName: string): number {
+  let indexes = memberIndexesByPipeline.get(pipeline);
   if (!indexes) {
     indexes = new Map(pipeline.members.map(({ name }, index) => [name, index]));
-    indexesPerPipeline.set(pipeline, indexes);
+    memberIndexesByPipeline.set(pipeline, indexes);
   }
-  const index = indexes.get(member);
-  if (index === undefined) throw new UnknownPipelineMemberError(member);
+  const index = indexes.get(memberName);
+  if (index === undefined) throw new UnknownPipelineMemberError(memberName);
   return index;
 }
--- a/src/pipeline/queue-times.ts
+++ b/src/pipeline/queue-times.ts
@@ -1,39 +1,42 @@
-/** Since when a job waits, and for what: its dependencies, free capacity, its first task. */
+/** The times since which a job waits for its dependencies, for free capacity, or for the start of its first task. */
 
-/** The times of one job's waits. A scheduling cycle brings them up to date. */
+/** The queue times of one job. Each scheduling cycle updates them. */
 export class QueueTimes {
   private dependenciesMetAtMs = NaN;
   private pendingFromMs = NaN;
   private starvingFromMs = Infinity;
 
-  /** Wall ms at which the last of the job's dependencies was done; NaN: not known to be so. */
+  /** Wall time, in milliseconds, at which the last dependency was done. NaN if they are not known to be done. */
   get dependenciesMetMs(): number {
     return this.dependenciesMetAtMs;
   }
 
-  /** Steady ms since when tasks of the job wait for free capacity; NaN: none does. */
+  /** Steady time, in milliseconds, since which tasks of the job wait for free capacity. NaN if no task waits. */
   get pendingSinceMs(): number {
     return this.pendingFromMs;
   }
 
-  /** Steady ms since when the job waits with no task allocated; Infinity: it does not. */
+  /** Steady time, in milliseconds, since which the job waits with no task allocated. Infinity if it does not. */
   get starvingSinceMs(): number {
     return this.starvingFromMs;
   }
 
-  /** Records that all dependencies are done, the last one since this wall time in ms. */
+  /** Records that the last of the job's dependencies was done at the given wall time in milliseconds. */
   recordDependenciesMet(wallMs: number): void {
     this.dependenciesMetAtMs = wallMs;
   }
 
-  /** Records that a scheduling cycle left tasks of the job pending beside so many allocated ones. */
+  /** Records that a scheduling cycle left tasks of the job pending, while `allocatedTasks` tasks are allocated. */
   recordPending(allocatedTasks: number, nowMs: number): void {
     if (Number.isNaN(this.pendingFromMs)) this.pendingFromMs = nowMs;
     if (allocatedTasks > 0) this.starvingFromMs = Infinity;
     else if (this.starvingFromMs === Infinity) this.starvingFromMs = nowMs;
   }
 
-  /** Records that no task of the job waits for free capacity. A job that backs off without a task starves on. */
+  /**
+   * Records that no task of the job waits for free capacity. A job that backs off without an allocated task continues
+   * to count as starving.
+   */
   recordNotPending(): void {
     this.pendingFromMs = NaN;
   }
--- a/src/pipeline/run-time-estimator.ts
+++ b/src/pipeline/run-time-estimator.ts
@@ -1,40 +1,46 @@
-/** Estimates of run times: how long tasks run against the estimates of their owners, per class of jobs. */
+/** Learns, for each job class, how the run times of tasks compare with the estimates of their owners. */
 import { ESTIMATE_MARGIN, ESTIMATE_WEIGHT_JOBS, OBSERVED_RUN_TIME_MARGIN } from '../constants.js';
 
-/** Jobs of a class that are remembered: the most recent ones tell of the present. */
-const JOBS_REMEMBERED = ESTIMATE_WEIGHT_JOBS * 10;
+/** Maximum number of most recent jobs that are remembered per class. Older ones say little about the present. */
+const MAX_REMEMBERED_JOBS = ESTIMATE_WEIGHT_JOBS * 10;
 
 /**
- * Learns per class how far the owners' estimates are off. They are often wrong by half, and for hours mostly too high or
- * mostly too low.
+ * Learns, for each job class, the error of the owners' estimates. The estimates are often wrong by half, and may be
+ * mostly too high or mostly too low for hours.
  */
 export class RunTimeEstimator {
-  /** Per class and job: the ratio of the mean run time of its completed tasks to the estimate; latest job last. */
+  /**
+   * The ratio of the mean run time of a job's completed tasks to the estimate, by job class and job uid. The most
+   * recently updated job is last.
+   */
   private readonly ratiosPerClass = new Map<string, Map<string, number>>();
-  private readonly marginPerClass = new Map<string, number>();
+  private readonly cachedMarginPerClass = new Map<string, number>();
 
-  /** Records the mean run time, in s, of a job's tasks that completed so far, and what its owner had estimated. */
+  /** Records the mean run time of a job's completed tasks and its owner's estimate, both in seconds. */
   record(jobClass: string, uid: string, meanRunS: number, estimatedRunS: number): void {
     if (estimatedRunS <= 0) return;
     const ratios = this.ratiosPerClass.get(jobClass) ?? new Map<string, number>();
     this.ratiosPerClass.set(jobClass, ratios);
-    this.marginPerClass.delete(jobClass);
+    this.cachedMarginPerClass.delete(jobClass);
     ratios.delete(uid);
     ratios.set(uid, meanRunS / estimatedRunS);
-    if (ratios.size <= JOBS_REMEMBERED) return;
-    const [oldest] = ratios.keys();
-    if (oldest !== undefined) ratios.delete(oldest);
+    if (ratios.size <= MAX_REMEMBERED_JOBS) return;
+    const [oldestUid] = ratios.keys();
+    if (oldestUid !== undefined) ratios.delete(oldestUid);
   }
 
-  /** The factor by which a task of the class is expected to exceed its estimate, on the safe side. */
+  /**
+   * Returns the expected run time of a task of the class as a multiple of its owner's estimate. The result is
+   * conservative.
+   */
   estimateMargin(jobClass: string): number {
-    const known = this.marginPerClass.get(jobClass);
-    if (known !== undefined) return known;
+    const cachedMargin = this.cachedMarginPerClass.get(jobClass);
+    if (cachedMargin !== undefined) return cachedMargin;
     const ratios = [...(this.ratiosPerClass.get(jobClass)?.values() ?? [])];
-    const observed = ratios.reduce((sum, ratio) => sum + ratio * OBSERVED_RUN_TIME_MARGIN, 0);
+    const observedMarginSum = ratios.reduce((sum, ratio) => sum + ratio * OBSERVED_RUN_TIME_MARGIN, 0);
     const margin =
-      (observed + ESTIMATE_MARGIN * ESTIMATE_WEIGHT_JOBS) / (ratios.length + ESTIMATE_WEIGHT_JOBS);
-    this.marginPerClass.set(jobClass, margin);
+      (observedMarginSum + ESTIMATE_MARGIN * ESTIMATE_WEIGHT_JOBS) / (ratios.length + ESTIMATE_WEIGHT_JOBS);
+    this.cachedMarginPerClass.set(jobClass, margin);
     return margin;
   }
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -138,7 +138,7 @@
 
   /** Fills the feasible nodes in the order of their score. Returns how many tasks were placed. */
   private placeTasks(job: Job, nodes: FreeCapacityIndex, limit: number, now: number): number {
-    let task = job.nextPendingTask();
+    let task = job.findNextPendingTask();
     if (task < 0) return 0;
     let started = 0;
     for (const { node, free } of this.rankNodes(job, nodes)) {
@@ -146,7 +146,7 @@
         this.planStart(job, task, node, now);
         addResources(free, job.spec, -1);
         started++;
-        task = job.nextPendingTask(task + 1);
+        task = job.findNextPendingTask(task + 1);
         if (task < 0 || started >= limit) return started;
       }
     }
--- a/test/pipeline/dependency-graph.test.ts
+++ b/test/pipeline/dependency-graph.test.ts
@@ -4,12 +4,12 @@
   DependencyGraph,
   isExecutable,
   type DependencyStatus,
-  type StoredMember,
+  type StoredJobDependencies,
 } from '../../src/pipeline/dependency-graph.js';
 import type { MemberState } from '../../src/pipeline/pipeline.js';
 
 test('a member is executable once all its predecessors have succeeded', () => {
-  const cases: [predecessors: string, executable: boolean][] = [
+  const cases: [predecessorStates: string, executable: boolean][] = [
     ['', true],
     ['S', true],
     ['N', false],
@@ -19,26 +19,26 @@
     ['SES', false],
     ['SFS', false],
   ];
-  for (const [predecessors, executable] of cases)
-    assert.equal(isExecutable([...predecessors] as MemberState[]), executable, predecessors);
+  for (const [predecessorStates, executable] of cases)
+    assert.equal(isExecutable([...predecessorStates] as MemberState[]), executable, predecessorStates);
 });
 
-/** A graph over a store of jobs; each change of the store is passed on to it at once. */
-function setUp() {
-  const stored = new Map<string, StoredMember>();
-  const graph = new DependencyGraph((uid) => stored.get(uid));
-  const put = (uid: string, phase: StoredMember['phase'], dependencies?: string[]): void => {
-    const value = { phase, dependencies: dependencies ?? stored.get(uid)?.dependencies ?? [] };
-    stored.set(uid, value);
-    graph.update(uid, value);
+/** Creates a dependency graph and an in-memory store of jobs. Each change to the store updates the graph at once. */
+function createGraphWithStore() {
+  const storedJobs = new Map<string, StoredJobDependencies>();
+  const graph = new DependencyGraph((uid) => storedJobs.get(uid));
+  const storeJob = (uid: string, phase: StoredJobDependencies['phase'], dependencies?: string[]): void => {
+    const storedJob = { phase, dependencies: dependencies ?? storedJobs.get(uid)?.dependencies ?? [] };
+    storedJobs.set(uid, storedJob);
+    graph.update(uid, storedJob);
   };
-  return { graph, put };
+  return { graph, storeJob };
 }
 
-test('the status of a job follows from the stored phases of itself and its dependencies, in whatever order they come', () => {
-  type Step = [uid: string, phase: StoredMember['phase'], dependencies?: string[]];
-  const cases: [name: string, steps: Step[], statuses: Record<string, DependencyStatus>][] = [
-    ['alone', [['a', 'open']], { a: 'ready' }],
+test('the status of a job follows from the stored phases of the job and its dependencies, in any order', () => {
+  type JobChange = [uid: string, phase: StoredJobDependencies['phase'], dependencies?: string[]];
+  const cases: [name: string, changes: JobChange[], statuses: Record<string, DependencyStatus>][] = [
+    ['no dependencies', [['a', 'open']], { a: 'ready' }],
     [
       'its dependency is open',
       [
@@ -82,7 +82,7 @@
       { b: 'cancelled' },
     ],
     [
-      'a chain is cancelled at its head',
+      'the first job of a chain is cancelled',
       [
         ['a', 'open'],
         ['b', 'open', ['a']],
@@ -92,7 +92,7 @@
       { b: 'cancelled', c: 'cancelled' },
     ],
     [
-      'depends on a job whose cancellation is not written yet',
+      'an indirect dependency is cancelled, and the cancellation of the direct one is not written yet',
       [
         ['a', 'open'],
         ['b', 'open', ['a']],
@@ -102,7 +102,7 @@
       { c: 'cancelled' },
     ],
     [
-      'cancellations written along the chain, without dependencies',
+      'cancellations are written along the chain, without dependencies',
       [
         ['a', 'open'],
         ['b', 'open', ['a']],
@@ -113,7 +113,7 @@
       { c: 'cancelled' },
     ],
     [
-      'done before its cancellation came: its dependents go on',
+      'a job became done before its cancellation took effect, so its dependents go on',
       [
         ['a', 'open'],
         ['b', 'open', ['a']],
@@ -123,7 +123,7 @@
       { b: 'ready', c: 'waiting' },
     ],
     [
-      'a diamond with one side cancelled',
+      'one side of a diamond is cancelled',
       [
         ['a', 'open'],
         ['b', 'open', ['a']],
@@ -134,7 +134,7 @@
       { b: 'waiting', d: 'cancelled' },
     ],
     [
-      'read in reverse order',
+      'a chain is read in reverse order',
       [
         ['c', 'open', ['b']],
         ['b', 'open', ['a']],
@@ -143,7 +143,7 @@
       { a: 'ready', b: 'waiting', c: 'waiting' },
     ],
     [
-      'read late, and cancelled',
+      'its dependency is read after it, and is cancelled',
       [
         ['c', 'open', ['b']],
         ['b', 'cancelled'],
@@ -151,7 +151,7 @@
       { c: 'cancelled' },
     ],
     [
-      'read late, and done',
+      'its dependency is read after it, and is done',
       [
         ['c', 'open', ['b']],
         ['b', 'done'],
@@ -159,7 +159,7 @@
       { c: 'ready' },
     ],
     [
-      'read late, with a dependency of its own',
+      'its dependency is read after it, and has a dependency that is cancelled',
       [
         ['c', 'open', ['b']],
         ['b', 'open', ['a']],
@@ -168,7 +168,7 @@
       { c: 'cancelled' },
     ],
     [
-      'read twice',
+      'values are read twice',
       [
         ['a', 'open'],
         ['b', 'open', ['a']],
@@ -179,37 +179,37 @@
       { b: 'ready' },
     ],
   ];
-  for (const [name, steps, statuses] of cases) {
-    const { graph, put } = setUp();
-    for (const step of steps) put(...step);
+  for (const [name, changes, statuses] of cases) {
+    const { graph, storeJob } = createGraphWithStore();
+    for (const change of changes) storeJob(...change);
     for (const [uid, status] of Object.entries(statuses))
       assert.equal(graph.statusOf(uid), status, `${name}: ${uid}`);
   }
 });
 
-test('a job whose dependencies can not be read waits', () => {
-  const { graph, put } = setUp();
+test('a job waits as long as its dependencies cannot be read', () => {
+  const { graph, storeJob } = createGraphWithStore();
   graph.update('b', { phase: 'open', dependencies: undefined });
   assert.equal(graph.statusOf('b'), 'waiting');
-  put('b', 'open', []);
+  storeJob('b', 'open', []);
   assert.equal(graph.statusOf('b'), 'ready');
 });
 
-test('long chains and wide pipelines end without recursion and leave no member behind', () => {
-  const { graph, put } = setUp();
+test('long chains and wide pipelines do not overflow the stack and leave no member in the graph', () => {
+  const { graph, storeJob } = createGraphWithStore();
   const count = 5_000;
-  put('j0', 'open');
-  for (let i = 1; i < count; i++) put(`j${i}`, 'open', [`j${i - 1}`]);
-  const names = Array.from({ length: count }, (_, i) => `w${i}`);
-  for (const name of names) put(name, 'open');
-  put('wide', 'open', names);
-  for (const name of names.slice(1)) put(name, 'done');
+  storeJob('j0', 'open');
+  for (let i = 1; i < count; i++) storeJob(`j${i}`, 'open', [`j${i - 1}`]);
+  const independentUids = Array.from({ length: count }, (_, i) => `w${i}`);
+  for (const uid of independentUids) storeJob(uid, 'open');
+  storeJob('wide', 'open', independentUids);
+  for (const uid of independentUids.slice(1)) storeJob(uid, 'done');
   assert.equal(graph.statusOf('wide'), 'waiting');
-  put('w0', 'done');
+  storeJob('w0', 'done');
   assert.equal(graph.statusOf('wide'), 'ready');
-  put('j0', 'cancelled');
+  storeJob('j0', 'cancelled');
   assert.equal(graph.statusOf(`j${count - 1}`), 'cancelled');
-  for (let i = 1; i < count; i++) put(`j${i}`, 'cancelled');
-  put('wide', 'done');
+  for (let i = 1; i < count; i++) storeJob(`j${i}`, 'cancelled');
+  storeJob('wide', 'done');
   assert.equal(graph.size, 0);
 });
--- a/test/pipeline/dependent-jobs.test.ts
+++ b/test/pipeline/dependent-jobs.test.ts
@@ -3,21 +3,23 @@
 import { SimDay, SMALL, type DayOptions } from '../../src/simulation/day.js';
 import type { SimJob } from '../../src/simulation/rules.js';
 
-/** Scenarios of the simulation in which users submit jobs that depend on others. */
+/** Simulation scenarios in which users submit jobs that depend on other jobs. */
 
-const LOW = { valueBytes: 2048, txnOps: 4 };
+const LOW_STORE_LIMITS = { valueBytes: 2048, txnOps: 4 };
 
-/** Runs until a request of a user is answered. */
-async function request(day: SimDay, member: string, path: string, body?: unknown) {
+/** Sends a user request, and runs the simulation until it is answered or 5 seconds have passed. */
+async function sendRequest(day: SimDay, member: string, path: string, body?: unknown) {
   let response: { status: number; body: string } | undefined;
-  const untilMs = day.clock.steadyMs() + 5_000;
-  void day.askOne(member, body ? 'POST' : 'GET', `/submissions${path}`, body).then((r) => (response = r));
-  while (!response && day.clock.steadyMs() < untilMs) await day.clock.runUntil(day.clock.steadyMs() + 10);
+  const deadlineMs = day.clock.steadyMs() + 5_000;
+  void day
+    .askOne(member, body ? 'POST' : 'GET', `/submissions${path}`, body)
+    .then((answer) => (response = answer));
+  while (!response && day.clock.steadyMs() < deadlineMs) await day.clock.runUntil(day.clock.steadyMs() + 10);
   const phase = response && (JSON.parse(response.body) as { phase?: string }).phase;
   return { status: response?.status, phase };
 }
 
-test('submissions with dependencies: each case at each controller', async () => {
+test('every controller answers submissions with dependencies as expected', async () => {
   const day = new SimDay(31);
   day.at(2, () => day.submit({ tasks: 1, runS: 2 }));
   day.at(2, () => day.submit({ tasks: 1, runS: 300 }));
@@ -25,92 +27,103 @@
   day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 1 }));
   await day.clock.runUntil(40_000);
   const [done, running, cancelled, service] = ['job-000001', 'job-000002', 'job-000003', 'job-000004'];
-  const cases: [name: string, awaits: unknown, status: number, then?: string][] = [
-    ['null', null, 201, 'pending'],
-    ['none', [], 201, 'pending'],
-    ['a done one', [done], 201],
-    ['a running one of another team', [running], 201, 'pending'],
-    ['one twice', [running, running], 201, 'pending'],
-    ['a cancelled one: accepted all the same', [done, cancelled], 201, 'withdrawn'],
-    ['one never accepted', [done, 'job-777777'], 422],
-    ['itself', 'self', 422],
+  const cases: [name: string, awaits: unknown, status: number, phase?: string][] = [
+    ['null as the list', null, 201, 'pending'],
+    ['an empty list', [], 201, 'pending'],
+    ['a job that is done', [done], 201],
+    ['a running job of another team', [running], 201, 'pending'],
+    ['the same job twice', [running, running], 201, 'pending'],
+    ['a cancelled job, which does not prevent acceptance', [done, cancelled], 201, 'withdrawn'],
+    ['a job that was never accepted', [done, 'job-777777'], 422],
+    ['the submitted job itself', 'self', 422],
     ['a service', [service], 422],
-    ['no list', running, 400],
-    ['no ids', [7], 400],
-    ['an id that is not well formed', ['nonsense'], 400],
+    ['not a list', running, 400],
+    ['a list of numbers', [7], 400],
+    ['a malformed id', ['nonsense'], 400],
   ];
-  for (const [name, awaits, status, then] of cases) {
+  for (const [name, awaits, status, phase] of cases) {
     for (const member of day.members) {
       const { uid } = day.expect({ runS: 2 });
       const body = { ...day.wireOf({ uid, runS: 2 }), awaits: awaits === 'self' ? [uid] : awaits };
-      assert.equal((await request(day, member, '', body)).status, status, `${name} at ${member}`);
-      if (then) assert.equal((await request(day, member, `/${uid}`)).phase, then, `${name} at ${member}`);
-      // A repeat of an accepted job is answered with its state, whatever it names.
+      assert.equal((await sendRequest(day, member, '', body)).status, status, `${name} at ${member}`);
+      if (phase)
+        assert.equal((await sendRequest(day, member, `/${uid}`)).phase, phase, `${name} at ${member}`);
+      // A repeated submission of an accepted job is answered with the job's state, whatever dependencies it names.
       if (status !== 201) continue;
-      const repeat = await request(day, day.members[0]!, '', { ...body, awaits: ['job-777777'] });
+      const repeat = await sendRequest(day, day.members[0]!, '', { ...body, awaits: ['job-777777'] });
       assert.equal(repeat.status, 200, name);
     }
   }
-  // Only a read that began after the request may refuse what is not known.
+  // A controller may reject an unknown dependency only after a read of the state store that began after the request.
   day.state.refused.add('*');
-  const unread = { ...day.wireOf({ uid: 'job-899999' }), awaits: ['job-777777'] };
-  assert.equal((await request(day, day.members[1]!, '', unread)).status, 503);
+  const submissionDuringOutage = { ...day.wireOf({ uid: 'job-899999' }), awaits: ['job-777777'] };
+  assert.equal((await sendRequest(day, day.members[1]!, '', submissionDuringOutage)).status, 503);
 });
 
-test('a dependency list as long as a request allows fits into values, also under low limits', async () => {
-  const day = new SimDay(32, { ...SMALL, next: LOW });
-  day.state.limits = LOW;
+test('the longest dependency list that fits into a request can be stored, even under low limits', async () => {
+  const day = new SimDay(32, { ...SMALL, next: LOW_STORE_LIMITS });
+  day.state.limits = LOW_STORE_LIMITS;
   for (let i = 0; i < 900; i++)
     day.at(1 + i * 0.06, () => day.submit({ tasks: 1, cpus: 0.01, runS: 1, team: i % 2 ? 'red' : 'blue' }));
   await day.clock.runUntil(70_000);
-  const names = [...day.rules.jobs.keys()];
-  const last = day.submit({ tasks: 1, runS: 2, dueS: 500, dependencies: names });
+  const dependencies = [...day.rules.jobs.keys()];
+  const lastJob = day.submit({ tasks: 1, runS: 2, dueS: 500, dependencies });
   await day.clock.runUntil(80_000);
-  assert.equal(day.rules.jobs.get(last.uid)!.accepted, true);
+  assert.equal(day.rules.jobs.get(lastJob.uid)!.accepted, true);
   await day.clock.runUntil(180_000);
-  assert.ok(day.isOver(last));
+  assert.ok(day.isOver(lastJob));
   assert.equal(day.state.malformed, 0);
   assert.deepEqual(day.rules.broken, []);
 });
 
-/** Users submit the jobs of a pipeline one after another, each as soon as its dependencies are accepted. */
+/**
+ * Users submit the jobs of `count` pipelines. Each job is submitted as soon as its dependencies are accepted. Returns a
+ * list that is filled with the last job of each pipeline.
+ */
 function submitPipelines(day: SimDay, fromS: number, count: number): SimJob[] {
-  const last: SimJob[] = [];
+  const lastJobs: SimJob[] = [];
   for (let i = 0; i < count; i++) {
     const atS = fromS + i * 9;
     day.at(atS, () => {
-      const head = day.submit({ tasks: 2 + (i % 3), cpus: 1, runS: 6, spot: true });
-      const accepted = (jobs: SimJob[]): boolean =>
+      const firstJob = day.submit({ tasks: 2 + (i % 3), cpus: 1, runS: 6, spot: true });
+      const areAccepted = (jobs: SimJob[]): boolean =>
         jobs.every(({ uid }) => day.rules.jobs.get(uid)!.accepted);
-      const when = (jobs: SimJob[], run: () => void): void => {
-        if (accepted(jobs)) run();
-        else day.clock.after(200, () => when(jobs, run));
+      const runOnceAccepted = (jobs: SimJob[], run: () => void): void => {
+        if (areAccepted(jobs)) run();
+        else day.clock.after(200, () => runOnceAccepted(jobs, run));
       };
-      when([head], () => {
-        const middle = [0, 1].map(() =>
-          day.submit({ tasks: 4, cpus: 1, runS: 8, spot: true, dependencies: [head.uid] }),
+      runOnceAccepted([firstJob], () => {
+        const middleJobs = [0, 1].map(() =>
+          day.submit({ tasks: 4, cpus: 1, runS: 8, spot: true, dependencies: [firstJob.uid] }),
         );
-        when(middle, () => {
-          const join = day.submit({ tasks: 2, cpus: 2, runS: 5, dependencies: middle.map(({ uid }) => uid) });
-          when([join], () => {
-            const dependencies = [head.uid, join.uid];
-            // Some submit the last only when the others are over.
-            const end = (): void =>
-              void last.push(day.submit({ tasks: 2, cpus: 1, runS: 3, dueS: 90, dependencies }));
-            if (i % 4 === 3) day.clock.after(45_000, end);
-            else end();
-            if (i % 5 === 2) day.clock.after(4_000 + day.random() * 20_000, () => void day.cancel(head.uid));
+        runOnceAccepted(middleJobs, () => {
+          const joinJob = day.submit({
+            tasks: 2,
+            cpus: 2,
+            runS: 5,
+            dependencies: middleJobs.map(({ uid }) => uid),
+          });
+          runOnceAccepted([joinJob], () => {
+            const dependencies = [firstJob.uid, joinJob.uid];
+            // In some pipelines the last job is submitted only after the others have ended.
+            const submitLastJob = (): void =>
+              void lastJobs.push(day.submit({ tasks: 2, cpus: 1, runS: 3, dueS: 90, dependencies }));
+            if (i % 4 === 3) day.clock.after(45_000, submitLastJob);
+            else submitLastJob();
+            if (i % 5 === 2)
+              day.clock.after(4_000 + day.random() * 20_000, () => void day.cancel(firstJob.uid));
           });
         });
       });
     });
   }
-  return last;
+  return lastJobs;
 }
 
-const SCENARIOS: {
+const FAULT_SCENARIOS: {
   name: string;
   injectFaults: (day: SimDay) => void;
+  /** Seconds from the start of the simulation after which no more faults occur. */
   calmS: number;
   options?: DayOptions;
 }[] = [
@@ -118,11 +131,13 @@
   {
     name: 'leaders crash one after the other',
     injectFaults: (day) =>
-      [30, 41, 52, 63].forEach((s) => day.at(s, () => day.crash(day.leader ?? day.members[0]!, 1_500))),
+      [30, 41, 52, 63].forEach((second) =>
+        day.at(second, () => day.crash(day.leader ?? day.members[0]!, 1_500)),
+      ),
     calmS: 75,
   },
   {
-    name: 'late transactions, and a crash',
+    name: 'delayed transactions and a crash',
     injectFaults: (day) => {
       day.at(15, () => (day.state.lateShare = 0.3));
       day.at(45, () => day.crash(day.leader ?? day.members[0]!, 400));
@@ -131,12 +146,12 @@
     calmS: 95,
   },
   {
-    name: 'an outage, with cancellations in the gap before it and a crash in it',
+    name: 'an outage of the state store, with cancellations shortly before it and a crash during it',
     injectFaults: (day) => {
       day.at(40, () => day.state.refused.add(day.leader ?? day.members[0]!));
       day.at(40.2, () => {
-        for (const [uid, seen] of [...day.rules.jobs].slice(0, 20))
-          if (seen.told === 'open') void day.cancel(uid);
+        for (const [uid, observedJob] of [...day.rules.jobs].slice(0, 20))
+          if (observedJob.told === 'open') void day.cancel(uid);
       });
       day.at(41.5, () => day.state.refused.add('*'));
       day.at(60, () => day.crash(day.leader ?? day.members[0]!, 500));
@@ -145,7 +160,7 @@
     calmS: 100,
   },
   {
-    name: 'zones partitioned from each other, spot instances interrupted',
+    name: 'a partition between the zones while spot instances are interrupted',
     injectFaults: (day) => {
       day.at(35, () => day.network.cutZones());
       day.at(45, () => [...day.cloud.hosts.keys()].slice(0, 4).forEach((host) => day.cloud.take(host)));
@@ -154,37 +169,39 @@
     calmS: 75,
   },
   {
-    name: 'the limits of the state service are lowered, peers of a former version, leaders crash',
+    name: 'lowered limits of the state store, peers of an earlier version, and leader crashes',
     injectFaults: (day) => {
       day.members.slice(1).forEach((member) => day.peers.former.add(member));
       day.at(30, () => day.peers.former.clear());
-      day.at(32, () => (day.state.limits = LOW));
-      [34, 46].forEach((s) => day.at(s, () => day.crash(day.leader ?? day.members[0]!, 800)));
+      day.at(32, () => (day.state.limits = LOW_STORE_LIMITS));
+      [34, 46].forEach((second) => day.at(second, () => day.crash(day.leader ?? day.members[0]!, 800)));
     },
     calmS: 60,
-    options: { ...SMALL, next: LOW },
+    options: { ...SMALL, next: LOW_STORE_LIMITS },
   },
 ];
 
-for (const { name, injectFaults, calmS, options } of SCENARIOS) {
+for (const { name, injectFaults, calmS, options } of FAULT_SCENARIOS) {
   for (const seed of [1, 2]) {
     test(`dependent jobs: ${name} (seed ${seed})`, async () => {
       const day = new SimDay(seed, options);
       day.calmMs = calmS * 1000;
       day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
-      const last = submitPipelines(day, 5, 10);
+      const lastJobs = submitPipelines(day, 5, 10);
       injectFaults(day);
       await day.clock.runUntil(240_000);
       day.rules.checkServed(calmS * 1000);
       assert.deepEqual(day.rules.broken, []);
       assert.deepEqual(day.rules.startedCancelled, []);
-      assert.ok(last.length >= 8, `only ${last.length} pipelines`);
+      assert.ok(lastJobs.length >= 8, `only ${lastJobs.length} pipelines`);
       assert.deepEqual(
-        last.filter((job) => !day.isOver(job)).map((job) => job.uid),
+        lastJobs.filter((job) => !day.isOver(job)).map((job) => job.uid),
         [],
       );
-      const cancelled = last.filter((job) => day.rules.jobs.get(job.uid)!.told === 'withdrawn').length;
-      assert.ok(cancelled < last.length / 2, `${cancelled} cancelled`);
+      const cancelledCount = lastJobs.filter(
+        (job) => day.rules.jobs.get(job.uid)!.told === 'withdrawn',
+      ).length;
+      assert.ok(cancelledCount < lastJobs.length / 2, `${cancelledCount} cancelled`);
       assert.equal(day.state.malformed, 0);
     });
   }
--- a/test/pipeline/inherited-priority.test.ts
+++ b/test/pipeline/inherited-priority.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  highestPriority,
+  combinePriorities,
   propagatePriority,
+  type PrioritizedJob,
   type Priority,
-  type PriorityMember,
 } from '../../src/pipeline/inherited-priority.js';
 import type { Rank } from '../../src/state/records.js';
 
-type MemberRow = [
+type JobRow = [
   uid: string,
   dependencies: string[],
   rank: Rank,
@@ -16,24 +16,24 @@
   expectedDurationMs?: number,
 ];
 
-interface Graph {
-  add: (...row: MemberRow) => void;
-  priorityOf: (uid: string) => Priority;
-  /** The number of members looked up so far. */
-  lookups: () => number;
+interface JobGraph {
+  add: (...row: JobRow) => void;
+  getPriority: (uid: string) => Priority;
+  /** Number of jobs looked up so far. */
+  getLookupCount: () => number;
 }
 
-function graph(): Graph {
-  const members = new Map<string, PriorityMember>();
-  let lookups = 0;
-  const find = (uid: string): PriorityMember | undefined => {
-    lookups++;
-    return members.get(uid);
+function createJobGraph(): JobGraph {
+  const jobs = new Map<string, PrioritizedJob>();
+  let lookupCount = 0;
+  const findJob = (uid: string): PrioritizedJob | undefined => {
+    lookupCount++;
+    return jobs.get(uid);
   };
   return {
     add: (...[uid, dependencies, rank, deadlinesMs, expectedDurationMs = 10]) => {
       let inheritedPriority: Priority | undefined;
-      const member: PriorityMember = {
+      const job: PrioritizedJob = {
         uid,
         dependencies,
         ownPriority: { rank, deadlinesMs },
@@ -43,19 +43,19 @@
         expectedDurationMs,
         inheritPriority: (priority) => void (inheritedPriority = priority),
       };
-      members.set(uid, member);
-      propagatePriority(member, find);
+      jobs.set(uid, job);
+      propagatePriority(job, findJob);
     },
-    priorityOf: (uid) => highestPriority(members.get(uid)!.ownPriority, members.get(uid)!.inheritedPriority),
-    lookups: () => lookups,
+    getPriority: (uid) => combinePriorities(jobs.get(uid)!.ownPriority, jobs.get(uid)!.inheritedPriority),
+    getLookupCount: () => lookupCount,
   };
 }
 
-test('a job has the highest priority among its dependents, its deadlines less what these take', () => {
-  const cases: [name: string, rows: MemberRow[], expected: Record<string, [Rank, number[]]>][] = [
+test('a job inherits the highest rank and the deadlines of its dependents, minus their durations', () => {
+  const cases: [name: string, rows: JobRow[], expected: Record<string, [Rank, number[]]>][] = [
     ['no dependents', [['a', [], 'idle', []]], { a: ['idle', []] }],
     [
-      'through a chain',
+      'inheritance through a chain',
       [
         ['a', [], 'idle', []],
         ['b', ['a'], 'standard', [], 20],
@@ -64,7 +64,7 @@
       { a: ['high', [970, 1470]], b: ['high', [990, 1490]], c: ['high', [1000, 1500]] },
     ],
     [
-      'its own deadline is earlier',
+      'its own rank is higher and its own deadline is earlier',
       [
         ['a', [], 'prod', [500]],
         ['b', ['a'], 'high', [1000]],
@@ -72,7 +72,7 @@
       { a: ['prod', [500]] },
     ],
     [
-      'the rank of one and the deadline of another',
+      'the rank of one dependent and the deadline of another',
       [
         ['a', [], 'idle', []],
         ['b', ['a'], 'high', []],
@@ -81,7 +81,7 @@
       { a: ['high', [690]] },
     ],
     [
-      'the longer way through a diamond counts',
+      'the path through a diamond with the longer duration counts',
       [
         ['a', [], 'idle', []],
         ['b', ['a'], 'idle', [], 100],
@@ -91,34 +91,34 @@
       { a: ['high', [890]], b: ['high', [990]], c: ['high', [990]] },
     ],
     [
-      'a dependent with more deadlines',
+      'a dependent with more deadlines than the job',
       [
         ['a', [], 'idle', [2000]],
         ['b', ['a'], 'idle', [1000, 3000]],
       ],
       { a: ['idle', [990, 2000]] },
     ],
-    ['a dependency that is over', [['b', ['gone'], 'high', [1000]]], { b: ['high', [1000]] }],
+    ['a dependency that is done', [['b', ['gone'], 'high', [1000]]], { b: ['high', [1000]] }],
   ];
   for (const [name, rows, expected] of cases) {
-    const { add, priorityOf } = graph();
+    const { add, getPriority } = createJobGraph();
     for (const row of rows) add(...row);
     for (const [uid, [rank, deadlinesMs]] of Object.entries(expected))
-      assert.deepEqual(priorityOf(uid), { rank, deadlinesMs }, `${name}: ${uid}`);
+      assert.deepEqual(getPriority(uid), { rank, deadlinesMs }, `${name}: ${uid}`);
   }
 });
 
-test('the cost grows with the edges touched: chains, fans and ladders of diamonds', () => {
+test('the cost is proportional to the number of affected edges in chains, fans and ladders of diamonds', () => {
   const count = 3_000;
-  const chain = graph();
+  const chain = createJobGraph();
   chain.add('j0', [], 'standard', []);
   for (let i = 1; i < count; i++) chain.add(`j${i}`, [`j${i - 1}`], 'standard', []);
-  // No priority is raised: one lookup a member.
-  assert.ok(chain.lookups() < 2 * count, `${chain.lookups()}`);
+  // No priority is raised, so there is one lookup per job.
+  assert.ok(chain.getLookupCount() < 2 * count, `${chain.getLookupCount()}`);
   chain.add('last', [`j${count - 1}`], 'high', [1e9]);
-  assert.deepEqual(chain.priorityOf('j0').deadlinesMs, [1e9 - 10 * count]);
-  assert.ok(chain.lookups() < 6 * count, `${chain.lookups()}`);
-  const fan = graph();
+  assert.deepEqual(chain.getPriority('j0').deadlinesMs, [1e9 - 10 * count]);
+  assert.ok(chain.getLookupCount() < 6 * count, `${chain.getLookupCount()}`);
+  const fan = createJobGraph();
   fan.add('root', [], 'idle', []);
   for (let i = 0; i < count; i++) fan.add(`f${i}`, ['root'], 'idle', [1e6 + i]);
   fan.add(
@@ -127,9 +127,9 @@
     'high',
     [5e5],
   );
-  assert.deepEqual(fan.priorityOf('root'), { rank: 'high', deadlinesMs: [5e5 - 20] });
-  assert.ok(fan.lookups() < 8 * count, `${fan.lookups()}`);
-  const ladder = graph();
+  assert.deepEqual(fan.getPriority('root'), { rank: 'high', deadlinesMs: [5e5 - 20] });
+  assert.ok(fan.getLookupCount() < 8 * count, `${fan.getLookupCount()}`);
+  const ladder = createJobGraph();
   ladder.add('s0', [], 'idle', []);
   const rungs = 200;
   for (let i = 1; i <= rungs; i++) {
@@ -138,6 +138,6 @@
     ladder.add(`s${i}`, [`l${i}`, `r${i}`], 'idle', [], 1);
   }
   ladder.add('end', [`s${rungs}`], 'high', [1e6], 1);
-  assert.deepEqual(ladder.priorityOf('s0').deadlinesMs, [1e6 - 1 - rungs * 51]);
-  assert.ok(ladder.lookups() < rungs * 40, `${ladder.lookups()}`);
+  assert.deepEqual(ladder.getPriority('s0').deadlinesMs, [1e6 - 1 - rungs * 51]);
+  assert.ok(ladder.getLookupCount() < rungs * 40, `${ladder.getLookupCount()}`);
 });
--- a/test/pipeline/job.test.ts
+++ b/test/pipeline/job.test.ts
@@ -5,7 +5,7 @@
 import type { JobRecord, JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
 
-function setUp(specFields: Partial<JobSpec> = {}, recordFields: Partial<JobRecord> = {}) {
+function createJob(specFields: Partial<JobSpec> = {}, recordFields: Partial<JobRecord> = {}) {
   const spec = jobSpec(specFields);
   const record: JobRecord = {
     phase: 'open',
@@ -20,29 +20,29 @@
   return new Job({ uid: spec.uid, record, spec, modRevision: 5, objectives: [] });
 }
 
-test('a job is done once all its tasks are completed, and is stored as done only with its last segment', () => {
+test('a job is done once all tasks are completed, and is stored as done only with its last segment', () => {
   const tasks = COMPLETION_SEGMENT_TASKS * 2 + 1;
-  const job = setUp({ tasks });
+  const job = createJob({ tasks });
   for (let task = 0; task < tasks; task++) job.completeTask(task);
   assert.equal(job.updateEnding(9_000), 'acceptable');
   assert.equal(job.phase, 'done');
-  const partial = job.beginWrite(1);
-  assert.deepEqual([partial.record.phase, partial.record.memberStates], ['open', 'N']);
-  assert.deepEqual([partial.modRevision, partial.segments.map(({ segment }) => segment)], [5, [1]]);
-  job.persistence.completeWrite(partial, 6);
+  const partialWrite = job.beginWrite(1);
+  assert.deepEqual([partialWrite.record.phase, partialWrite.record.memberStates], ['open', 'N']);
+  assert.deepEqual([partialWrite.modRevision, partialWrite.segments.map(({ segment }) => segment)], [5, [1]]);
+  job.persistence.completeWrite(partialWrite, 6);
   assert.ok(job.needsWrite);
   assert.ok(job.persistence.isCompletionPersisted(COMPLETION_SEGMENT_TASKS));
   assert.ok(!job.persistence.isCompletionPersisted(tasks - 1));
-  const last = job.beginWrite(1);
-  assert.deepEqual([last.record.phase, last.record.memberStates], ['done', 'S']);
-  assert.deepEqual([last.record.finishedMs, last.record.spec], [9_000, undefined]);
-  assert.deepEqual([last.modRevision, last.segments.map(({ segment }) => segment)], [6, [2]]);
-  job.persistence.completeWrite(last, 7);
+  const lastWrite = job.beginWrite(1);
+  assert.deepEqual([lastWrite.record.phase, lastWrite.record.memberStates], ['done', 'S']);
+  assert.deepEqual([lastWrite.record.finishedMs, lastWrite.record.spec], [9_000, undefined]);
+  assert.deepEqual([lastWrite.modRevision, lastWrite.segments.map(({ segment }) => segment)], [6, [2]]);
+  job.persistence.completeWrite(lastWrite, 7);
   assert.ok(!job.needsWrite);
 });
 
 test('the segments of an aborted write are written again', () => {
-  const job = setUp({ tasks: COMPLETION_SEGMENT_TASKS + 1 });
+  const job = createJob({ tasks: COMPLETION_SEGMENT_TASKS + 1 });
   job.completeTask(COMPLETION_SEGMENT_TASKS);
   const write = job.beginWrite(4);
   assert.ok(job.persistence.writeInProgress);
@@ -52,8 +52,8 @@
   assert.deepEqual(job.beginWrite(4), write);
 });
 
-test('only a newer record or segment is taken over', () => {
-  const job = setUp({ tasks: COMPLETION_SEGMENT_TASKS * 2 });
+test('a record or segment is applied only if it is newer than the known one', () => {
+  const job = createJob({ tasks: COMPLETION_SEGMENT_TASKS * 2 });
   const { record } = job.persistence;
   assert.equal(job.persistence.applyRecord({ ...record, completed: 'AQ==' }, 5), false);
   assert.ok(!job.persistence.isCompleted(0));
@@ -65,22 +65,25 @@
   assert.ok(!job.persistence.isCompleted(COMPLETION_SEGMENT_TASKS + 1));
 });
 
-test('pending tasks: neither completed nor allocated; a second attempt frees nothing', () => {
-  const job = setUp();
+test('pending tasks are neither completed nor allocated, and removing a second attempt frees no task', () => {
+  const job = createJob();
   const attempt = { index: 0 };
   job.addAllocation(attempt, 'a');
   job.addAllocation({ index: 1 }, 'a');
   job.completeTask(2);
-  assert.deepEqual([job.nextPendingTask(), job.pendingTasks, job.unfinishedTasks], [3, 1, 3]);
+  assert.deepEqual([job.findNextPendingTask(), job.pendingTasks, job.unfinishedTasks], [3, 1, 3]);
   job.removeAllocation({ index: 0 }, 'a');
   assert.deepEqual([...job.allocationsPerZone], [['a', 2]]);
   job.removeAllocation(attempt, 'a');
   assert.deepEqual([...job.allocationsPerZone], [['a', 1]]);
-  assert.deepEqual([job.nextPendingTask(), job.nextPendingTask(1), job.nextPendingTask(4)], [0, 3, -1]);
+  assert.deepEqual(
+    [job.findNextPendingTask(), job.findNextPendingTask(1), job.findNextPendingTask(4)],
+    [0, 3, -1],
+  );
 });
 
-test('starts are delayed longer with each failure in a row, up to a limit', () => {
-  const job = setUp();
+test('the start delay doubles with each consecutive failure, up to a maximum', () => {
+  const job = createJob();
   for (const doublings of [0, 1, 2]) {
     job.progress.recordFailure('vm-1', 100);
     assert.equal(job.progress.startNotBeforeMs, 100 + FAILURE_BACKOFF_MS * 2 ** doublings);
@@ -95,16 +98,16 @@
   assert.equal(job.progress.startNotBeforeMs, 200 + FAILURE_BACKOFF_MS);
 });
 
-test('a job starves from the first cycle that leaves it without a task until one is allocated', () => {
-  const job = setUp();
-  const steps: [allocated: number, nowMs: number, pendingSinceMs: number, starvingSinceMs: number][] = [
+test('a job starves from the first cycle that leaves it without an allocated task until one is allocated', () => {
+  const job = createJob();
+  const cycles: [allocatedTasks: number, nowMs: number, pendingSinceMs: number, starvingSinceMs: number][] = [
     [0, 10, 10, 10],
     [0, 20, 10, 10],
     [2, 30, 10, Infinity],
     [0, 40, 10, 40],
   ];
-  for (const [allocated, nowMs, pendingSinceMs, starvingSinceMs] of steps) {
-    job.queueTimes.recordPending(allocated, nowMs);
+  for (const [allocatedTasks, nowMs, pendingSinceMs, starvingSinceMs] of cycles) {
+    job.queueTimes.recordPending(allocatedTasks, nowMs);
     const { queueTimes } = job;
     assert.deepEqual(
       [queueTimes.pendingSinceMs, queueTimes.starvingSinceMs],
@@ -115,8 +118,8 @@
   assert.deepEqual([job.queueTimes.pendingSinceMs, job.queueTimes.starvingSinceMs], [NaN, 40]);
 });
 
-test('spot instances first, any once these are not to be had; an undated successor after the last deadline', () => {
-  const job = setUp({ spot: true, deadlineS: 10 }, { memberStates: 'NN' });
+test('a job uses spot instances first, then any, and runs without deadlines after its last deadline', () => {
+  const job = createJob({ spot: true, deadlineS: 10 }, { memberStates: 'NN' });
   assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [false, false]);
   job.submitExecutableMembers();
   assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [true, false]);
@@ -131,8 +134,8 @@
   assert.deepEqual([record.phase, record.memberStates, record.successor], ['open', 'EN', true]);
 });
 
-test('a job is cancelled once', () => {
-  const job = setUp();
+test('a job can be cancelled only once', () => {
+  const job = createJob();
   assert.deepEqual([job.cancel(), job.cancel(), job.phase], [true, false, 'cancelled']);
   assert.equal(job.updateEnding(9_000), undefined);
 });
--- a/test/pipeline/pipeline.test.ts
+++ b/test/pipeline/pipeline.test.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
+  ALWAYS_TRUE,
   and,
-  endingOf,
-  executableMembers,
-  expiryS,
+  determineEnding,
   failed,
+  findExecutableMembers,
+  getExpiryAgeS,
+  getCompletionValue,
   or,
   succeeded,
-  TRUE,
-  valueAt,
   type Pipeline,
 } from '../../src/pipeline/pipeline.js';
 
-/** The paper's Example 2 without its clock windows and compensation. */
-const TRAVEL: Pipeline = {
+/** Example 2 of the paper, without its time windows and compensation. */
+const TRAVEL_PIPELINE: Pipeline = {
   members: [
-    { name: 't1', predecessors: [], predicate: TRUE },
+    { name: 't1', predecessors: [], predicate: ALWAYS_TRUE },
     { name: 't2', predecessors: [], predicate: failed('t1') },
     { name: 't3', predecessors: ['t1', 't2'], predicate: or(succeeded('t1'), succeeded('t2')) },
     { name: 't4', predecessors: ['t3'], predicate: and(succeeded('t3'), failed('t5')) },
@@ -30,7 +30,7 @@
   ],
 };
 
-const STATES: [states: string, executable: string[], ending: string | undefined][] = [
+const STATE_CASES: [states: string, executable: string[], ending: string | undefined][] = [
   ['NNNNNN', ['t1'], undefined],
   ['ENNNNN', [], undefined],
   ['SNNNNN', ['t3'], undefined],
@@ -51,40 +51,40 @@
   ['FSSFFS', [], 'acceptable'],
 ];
 
-test("Example 2: executable members and ending by the members' states", () => {
-  for (const [states, executable, ending] of STATES) {
-    assert.deepEqual(executableMembers(TRAVEL, states), executable, states);
-    assert.equal(endingOf(TRAVEL, states, 0), ending, states);
+test("Example 2: the members' states determine the executable members and the ending", () => {
+  for (const [states, executable, ending] of STATE_CASES) {
+    assert.deepEqual(findExecutableMembers(TRAVEL_PIPELINE, states), executable, states);
+    assert.equal(determineEnding(TRAVEL_PIPELINE, states, 0), ending, states);
   }
 });
 
 test('Example 2: the value function and t0', () => {
-  const hour = 3600;
+  const secondsPerHour = 3600;
   const cases: [ageS: number, value: number][] = [
     [0, 1],
-    [12 * hour, 1],
-    [12 * hour + 1, 0.5],
-    [24 * hour, 0.5],
-    [25 * hour, 0],
+    [12 * secondsPerHour, 1],
+    [12 * secondsPerHour + 1, 0.5],
+    [24 * secondsPerHour, 0.5],
+    [25 * secondsPerHour, 0],
   ];
-  for (const [age, value] of cases) assert.equal(valueAt(TRAVEL, age), value);
-  assert.equal(expiryS(TRAVEL), 24 * hour);
-  assert.equal(endingOf(TRAVEL, 'SNENNN', 24 * hour), 'expired');
-  assert.equal(endingOf(TRAVEL, 'SNSNSN', 25 * hour), 'acceptable');
+  for (const [ageS, value] of cases) assert.equal(getCompletionValue(TRAVEL_PIPELINE, ageS), value);
+  assert.equal(getExpiryAgeS(TRAVEL_PIPELINE), 24 * secondsPerHour);
+  assert.equal(determineEnding(TRAVEL_PIPELINE, 'SNENNN', 24 * secondsPerHour), 'expired');
+  assert.equal(determineEnding(TRAVEL_PIPELINE, 'SNSNSN', 25 * secondsPerHour), 'acceptable');
 });
 
-test('members without an order between them are submitted together', () => {
-  const pair: Pipeline = {
+test('members with no order between them are submitted together', () => {
+  const parallelPipeline: Pipeline = {
     members: [
-      { name: 'a', predecessors: [], predicate: TRUE },
-      { name: 'b', predecessors: [], predicate: TRUE },
+      { name: 'a', predecessors: [], predicate: ALWAYS_TRUE },
+      { name: 'b', predecessors: [], predicate: ALWAYS_TRUE },
       { name: 'c', predecessors: ['a', 'b'], predicate: and(succeeded('a'), succeeded('b')) },
     ],
     acceptableStates: ['SSS'],
     valueSteps: [],
   };
-  assert.deepEqual(executableMembers(pair, 'NNN'), ['a', 'b']);
-  assert.deepEqual(executableMembers(pair, 'SEN'), []);
-  assert.deepEqual(executableMembers(pair, 'SSN'), ['c']);
-  assert.equal(endingOf(pair, 'SFN', 1e9), 'stuck');
+  assert.deepEqual(findExecutableMembers(parallelPipeline, 'NNN'), ['a', 'b']);
+  assert.deepEqual(findExecutableMembers(parallelPipeline, 'SEN'), []);
+  assert.deepEqual(findExecutableMembers(parallelPipeline, 'SSN'), ['c']);
+  assert.equal(determineEnding(parallelPipeline, 'SFN', 1e9), 'stuck');
 });
