--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -28,7 +28,7 @@
  * The maximum number of tasks that one scheduling cycle starts is never less than this. That maximum bounds the load on
  * the stages after scheduling.
  */
-export const MIN_STARTS_PER_CYCLE = 300;
+export const MIN_START_LIMIT_PER_CYCLE = 300;
 /** Tolerance for comparing resource amounts. Amounts are decimals, and smaller differences are rounding errors. */
 export const EPSILON = 1e-6;
 /** Minimum billed time of an on-demand instance, in milliseconds. Terminating it earlier saves nothing. */
@@ -37,39 +37,39 @@
  * Score penalty of a node on which a task of the job failed. The unit is one processor core left free. Such nodes rank
  * after all others.
  */
-export const SCORE_FAILED_NODE = 1e6;
+export const FAILED_NODE_SCORE_PENALTY = 1e6;
 /**
  * Score penalty of a node that is not of the kind, spot or on-demand, that the job prefers. The unit is one processor
  * core left free. The kind takes precedence over the start time.
  */
-export const SCORE_UNPREFERRED_KIND = 1e4;
+export const UNPREFERRED_KIND_SCORE_PENALTY = 1e4;
 /**
  * Score penalty of a node for each second that it takes to pull the image. The unit is one processor core left free.
  * The start time takes precedence over bin packing.
  */
-export const SCORE_PER_IMAGE_PULL_S = 10;
+export const IMAGE_PULL_SCORE_PENALTY_PER_S = 10;
 /** A production service preempts lower ranks after waiting this many milliseconds, because its users wait for it. */
-export const PREEMPT_PROD_AFTER_MS = 0;
+export const PROD_PREEMPTION_WAIT_MS = 0;
 /**
  * Any other job waits this many milliseconds before it preempts lower ranks, or tasks that keep its team from using its
  * guarantee.
  */
-export const PREEMPT_AFTER_MS = 4_000;
+export const PREEMPTION_WAIT_MS = 4_000;
 /**
  * Expected run time of a task as a multiple of its owner's estimate, as long as no run time of its job class has been
  * observed.
  */
-export const ESTIMATE_MARGIN = 1.6;
-/** `ESTIMATE_MARGIN` has the same weight as the observed run times of this many jobs of a class. */
-export const ESTIMATE_WEIGHT_JOBS = 3;
+export const RUN_TIME_ESTIMATE_MARGIN = 1.6;
+/** `RUN_TIME_ESTIMATE_MARGIN` has the same weight as the observed run times of this many jobs of a class. */
+export const RUN_TIME_ESTIMATE_WEIGHT_JOBS = 3;
 /** Expected run time of a task as a multiple of the mean run time of the completed tasks of its job. */
 export const OBSERVED_RUN_TIME_MARGIN = 1.25;
 /** A task that exceeded its estimate is expected to run on for this share of the time that it has already run. */
-export const OVERRUN_SHARE = 0.5;
+export const OVERRUN_TIME_SHARE = 0.5;
 /**
  * Assumed minimum run time of a task, as a share of its owner's estimate, when checking if a deadline can still be met.
  */
-export const MIN_RUN_TIME_SHARE = 0.7;
+export const MIN_RUN_TIME_ESTIMATE_SHARE = 0.7;
 /** Added to the cost, in seconds, of a preemption that makes a job miss a deadline which it could otherwise meet. */
 export const MISSED_DEADLINE_PENALTY_S = 1_000;
 /**
@@ -81,14 +81,14 @@
  * A job that missed its last deadline is queued as if it were due this many milliseconds after its earliest deadline,
  * so that a stream of newer jobs can't delay it forever.
  */
-export const LATE_JOB_DUE_MS = 90_000;
+export const LATE_JOB_DUE_DELAY_MS = 90_000;
 /**
  * Expected delay, in milliseconds, between the end of a job and the first start of a dependent job. It covers
  * heartbeats, the write to the state store and the pull of an image.
  */
 export const DEPENDENT_START_DELAY_MS = 4_000;
 /** A job without a deadline is queued as if it were due this many milliseconds after it became ready to run. */
-export const UNDATED_JOB_DUE_MS = 120_000;
+export const NO_DEADLINE_JOB_DUE_DELAY_MS = 120_000;
 /**
  * A job that has waited this many milliseconds without a running task is queued with the jobs within their team's
  * guarantee, so that even the largest jobs start in time.
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -49,10 +49,11 @@
  */
 export const DELETED_NODE_RETENTION_MS = 600_000;
 /**
- * Number of attempts per term. The low bits of an attempt number count up to it; the high bits hold the leader's term.
+ * Number of attempt numbers in the range of one term. The low bits of an attempt number are a counter within this
+ * range, and the high bits hold the leader's term.
  */
-export const ATTEMPTS_PER_TERM = 2 ** 22;
+export const ATTEMPT_NUMBERS_PER_TERM = 2 ** 22;
 /** A term ends when only this many attempt numbers are left. One scheduling cycle starts fewer attempts. */
-export const ATTEMPTS_RESERVED = 2 ** 16;
+export const RESERVED_ATTEMPT_NUMBERS = 2 ** 16;
 /** Maximum number of commands in one response to a heartbeat or one direct call. It keeps both far below 64 KiB. */
 export const MAX_COMMANDS_PER_RESPONSE = 200;
--- a/src/pipeline/job-progress.ts
+++ b/src/pipeline/job-progress.ts
@@ -1,5 +1,9 @@
 /** Records the outcomes of a job's attempts: their run times, and the failures after which the job backs off. */
-import { FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS, OBSERVED_RUN_TIME_MARGIN } from '../constants.js';
+import {
+  INITIAL_FAILURE_BACKOFF_MS,
+  MAX_FAILURE_BACKOFF_MS,
+  OBSERVED_RUN_TIME_MARGIN,
+} from '../constants.js';
 import type { JobSpec } from '../state/records.js';
 import type { RunTimeEstimator } from './run-time-estimator.js';
 
@@ -26,7 +30,7 @@
   }
 
   /** Steady time, in milliseconds, before which no task of the job is started. */
-  get startNotBeforeMs(): number {
+  get earliestStartMs(): number {
     return this.noStartBeforeMs;
   }
 
@@ -53,7 +57,8 @@
   recordFailure(nodeName: string, nowMs: number): void {
     this.nodesWithFailedTask.add(nodeName);
     const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, this.consecutiveFailures++);
-    this.noStartBeforeMs = nowMs + Math.min(FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS * 2 ** doublings);
+    this.noStartBeforeMs =
+      nowMs + Math.min(MAX_FAILURE_BACKOFF_MS, INITIAL_FAILURE_BACKOFF_MS * 2 ** doublings);
   }
 
   /** Records that a task completed. This resets the number of consecutive failures. */
--- a/src/pipeline/job.ts
+++ b/src/pipeline/job.ts
@@ -2,7 +2,7 @@
  * A job in the memory of the leader, with its phase, pipeline and priority. Its allocations, the progress of its tasks,
  * its queue times and its persisted state are in separate modules. Its state changes only through named methods.
  */
-import { DEPENDENT_START_DELAY_MS, MIN_RUN_TIME_SHARE } from '../constants.js';
+import { DEPENDENT_START_DELAY_MS, MIN_RUN_TIME_ESTIMATE_SHARE } from '../constants.js';
 import type { JobPhase, JobSpec, Rank } from '../state/records.js';
 import { higherRank, minDeadlines, type Priority, type PrioritizedJob } from './inherited-priority.js';
 import { JobAllocations, type TaskAttempt } from './job-allocations.js';
@@ -128,7 +128,7 @@
    */
   updateEnding(wallMs: number): PipelineEnding | undefined {
     if (!this.isOpen) return undefined;
-    if (!this.isService && this.unfinishedTasks === 0) {
+    if (!this.isService && this.unfinishedTaskCount === 0) {
       if (!this.pipelineExecution.isExecuting) this.pipelineExecution.submitExecutableMembers();
       this.pipelineExecution.succeedExecutingMembers();
     }
@@ -199,7 +199,8 @@
    * that can no longer be met must not delay jobs whose deadlines can still be met.
    */
   schedulingDeadlineMs(wallMs: number): number {
-    const minRunTimeMs = this.pendingTasks > 0 ? this.spec.estimatedRunS * 1000 * MIN_RUN_TIME_SHARE : 0;
+    const minRunTimeMs =
+      this.pendingTasks > 0 ? this.spec.estimatedRunS * 1000 * MIN_RUN_TIME_ESTIMATE_SHARE : 0;
     const ownDeadlinesMs = this.pipelineExecution.valueSteps.map(
       (step) => this.acceptedMs + step.untilS * 1000,
     );
@@ -230,11 +231,11 @@
 
   /** Number of tasks that are neither completed nor allocated. */
   get pendingTasks(): number {
-    return this.unfinishedTasks - this.allocations.size;
+    return this.unfinishedTaskCount - this.allocations.size;
   }
 
   /** Number of tasks that are not completed. */
-  get unfinishedTasks(): number {
+  get unfinishedTaskCount(): number {
     return this.spec.tasks - this.persistence.completedTaskCount;
   }
 
--- a/src/pipeline/run-time-estimator.ts
+++ b/src/pipeline/run-time-estimator.ts
@@ -1,8 +1,12 @@
 /** Learns, for each job class, how the run times of tasks compare with the estimates of their owners. */
-import { ESTIMATE_MARGIN, ESTIMATE_WEIGHT_JOBS, OBSERVED_RUN_TIME_MARGIN } from '../constants.js';
+import {
+  OBSERVED_RUN_TIME_MARGIN,
+  RUN_TIME_ESTIMATE_MARGIN,
+  RUN_TIME_ESTIMATE_WEIGHT_JOBS,
+} from '../constants.js';
 
 /** Maximum number of most recent jobs that are remembered per class. Older ones say little about the present. */
-const MAX_REMEMBERED_JOBS = ESTIMATE_WEIGHT_JOBS * 10;
+const MAX_REMEMBERED_JOBS = RUN_TIME_ESTIMATE_WEIGHT_JOBS * 10;
 
 /**
  * Learns, for each job class, the error of the owners' estimates. The estimates are often wrong by half, and may be
@@ -39,7 +43,8 @@
     const ratios = [...(this.ratiosPerClass.get(jobClass)?.values() ?? [])];
     const observedMarginSum = ratios.reduce((sum, ratio) => sum + ratio * OBSERVED_RUN_TIME_MARGIN, 0);
     const margin =
-      (observedMarginSum + ESTIMATE_MARGIN * ESTIMATE_WEIGHT_JOBS) / (ratios.length + ESTIMATE_WEIGHT_JOBS);
+      (observedMarginSum + RUN_TIME_ESTIMATE_MARGIN * RUN_TIME_ESTIMATE_WEIGHT_JOBS) /
+      (ratios.length + RUN_TIME_ESTIMATE_WEIGHT_JOBS);
     this.cachedMarginPerClass.set(jobClass, margin);
     return margin;
   }
--- a/src/scheduler/attempt-numbers.ts
+++ b/src/scheduler/attempt-numbers.ts
@@ -1,23 +1,23 @@
-/** The numbers of attempts, unique over all terms. */
-import { ATTEMPTS_PER_TERM, ATTEMPTS_RESERVED } from '../constants.js';
+/** Issues attempt numbers that are unique across all terms. */
+import { ATTEMPT_NUMBERS_PER_TERM, RESERVED_ATTEMPT_NUMBERS } from '../constants.js';
 
 /**
- * Issues the attempt numbers of one term. A number carries the term in its high part: numbers beyond the end of the
- * term's range would be those of the next term.
+ * Issues the attempt numbers of one term. The high bits of a number hold the term, so a number beyond the end of the
+ * term's range would belong to the next term.
  */
 export class AttemptNumbers {
   constructor(
     private readonly term: number,
-    private issued = 0,
+    private issuedCount = 0,
   ) {}
 
-  /** A number that no other attempt has. */
+  /** Returns a number that no other attempt has. */
   next(): number {
-    return this.term * ATTEMPTS_PER_TERM + ++this.issued;
+    return this.term * ATTEMPT_NUMBERS_PER_TERM + ++this.issuedCount;
   }
 
-  /** Whether so few numbers are left that a new term must begin; more are left than one scheduling cycle issues. */
+  /** Whether a new term must begin because few numbers are left. One scheduling cycle issues fewer than are left. */
   get areRunningOut(): boolean {
-    return this.issued >= ATTEMPTS_PER_TERM - ATTEMPTS_RESERVED;
+    return this.issuedCount >= ATTEMPT_NUMBERS_PER_TERM - RESERVED_ATTEMPT_NUMBERS;
   }
 }
--- a/src/scheduler/free-capacity-index.ts
+++ b/src/scheduler/free-capacity-index.ts
@@ -1,50 +1,51 @@
-/** The nodes of one scheduling cycle with what is free on them, by zone. */
+/** Groups the nodes of one scheduling cycle and their free resources by zone. */
 import type { JobSpec } from '../state/records.js';
 import { hasFreeCapacity, type NodeCapacity } from './node-filter.js';
 import { allowsZone } from './placement-constraints.js';
 
 /**
- * Nodes with free capacity, by zone: a job that may use no more of a zone, as one whose replicas are to be spread, skips
- * all nodes there at once.
+ * Nodes and their free resources, grouped by zone. A job that may not use a zone any further, for example because its
+ * replicas must be spread, skips all nodes of the zone at once.
  */
 export class FreeCapacityIndex {
-  private readonly byZone = new Map<string, NodeCapacity[]>();
+  private readonly nodesByZone = new Map<string, NodeCapacity[]>();
 
   constructor(nodes: Iterable<NodeCapacity>) {
     for (const nodeCapacity of nodes) {
-      const sameZone = this.byZone.get(nodeCapacity.node.zone);
-      if (sameZone) sameZone.push(nodeCapacity);
-      else this.byZone.set(nodeCapacity.node.zone, [nodeCapacity]);
+      const nodesInZone = this.nodesByZone.get(nodeCapacity.node.zone);
+      if (nodesInZone) nodesInZone.push(nodeCapacity);
+      else this.nodesByZone.set(nodeCapacity.node.zone, [nodeCapacity]);
     }
   }
 
   /** The zones that have nodes. */
   get zones(): Iterable<string> {
-    return this.byZone.keys();
+    return this.nodesByZone.keys();
   }
 
-  /** The nodes of the zones that one more task of the job may use, given where its other tasks are. */
-  *candidatesFor(spec: JobSpec, allocationsPerZone: ReadonlyMap<string, number>): Iterable<NodeCapacity> {
-    for (const [zone, nodes] of this.byZone) if (allowsZone(spec, allocationsPerZone, zone)) yield* nodes;
+  /** Returns the nodes of all zones in which one more task of the job may run, given the zones of its other tasks. */
+  *findCandidates(spec: JobSpec, allocationsPerZone: ReadonlyMap<string, number>): Iterable<NodeCapacity> {
+    for (const [zone, nodes] of this.nodesByZone)
+      if (allowsZone(spec, allocationsPerZone, zone)) yield* nodes;
   }
 
   /** Whether the predicate holds for any node. */
-  some(predicate: (nodeCapacity: NodeCapacity) => boolean): boolean {
-    for (const nodes of this.byZone.values()) if (nodes.some(predicate)) return true;
+  hasNodeMatching(predicate: (nodeCapacity: NodeCapacity) => boolean): boolean {
+    for (const nodes of this.nodesByZone.values()) if (nodes.some(predicate)) return true;
     return false;
   }
 
-  /** The nodes of one zone. */
-  inZone(zone: string): readonly NodeCapacity[] {
-    return this.byZone.get(zone) ?? [];
+  /** Returns the nodes of one zone. */
+  getNodesInZone(zone: string): readonly NodeCapacity[] {
+    return this.nodesByZone.get(zone) ?? [];
   }
 
-  /** Removes the nodes that have become full. */
-  dropFull(): void {
-    for (const [zone, nodes] of this.byZone) {
+  /** Removes the nodes that have no free capacity left. */
+  removeFullNodes(): void {
+    for (const [zone, nodes] of this.nodesByZone) {
       const remaining = nodes.filter(hasFreeCapacity);
-      if (remaining.length > 0) this.byZone.set(zone, remaining);
-      else this.byZone.delete(zone);
+      if (remaining.length > 0) this.nodesByZone.set(zone, remaining);
+      else this.nodesByZone.delete(zone);
     }
   }
 }
--- a/src/scheduler/placement-constraints.ts
+++ b/src/scheduler/placement-constraints.ts
@@ -1,20 +1,20 @@
 /**
- * The rules about where a task may run, as pure functions. Placing a task against them breaks the protocol's
- * `wrong_place`.
+ * The rules about where a task may run, as pure functions. A placement that violates them breaks the rule `wrong_place`
+ * of the protocol.
  */
 import { EPSILON } from '../constants.js';
 import type { Resources } from '../cluster/resources.js';
 import type { JobSpec } from '../state/records.js';
 
-/** What the constraints of a job are checked against: a node, or an offering of the cloud. */
+/** A node or an offering of the cloud that is checked against the constraints of a job. */
 export interface PlacementTarget {
-  /** Name of its instance type. */
+  /** Name of the instance type. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** Whether the job allows the target's instance type, zone and kind (spot or on demand). */
+/** Whether the job allows the target's instance type, zone and kind (spot or on-demand). */
 export function satisfiesConstraints(spec: JobSpec, target: PlacementTarget): boolean {
   return (
     (spec.instanceTypes === null || spec.instanceTypes.includes(target.type)) &&
@@ -23,14 +23,14 @@
   );
 }
 
-/** Most tasks of the job that may be in one zone: half of them, rounded up, where they are to be spread. */
-export function maxTasksPerZone(spec: JobSpec): number {
+/** Returns the maximum number of the job's tasks per zone. If they must be spread, it is half of them, rounded up. */
+export function getMaxTasksPerZone(spec: JobSpec): number {
   return spec.zoneSpread ? Math.ceil(spec.tasks / 2) : spec.tasks;
 }
 
 /**
- * Whether one more task of the job may run in the zone. `allocationsPerZone` counts the job's tasks that are, or may
- * be, on nodes.
+ * Whether one more task of the job may run in the zone. `allocationsPerZone` is the number of the job's tasks per zone
+ * that are, or may be, on nodes.
  */
 export function allowsZone(
   spec: JobSpec,
@@ -43,20 +43,20 @@
     !(allocationsPerZone.size === 1 && allocationsPerZone.has(zone))
   )
     return false;
-  return (allocationsPerZone.get(zone) ?? 0) < maxTasksPerZone(spec);
+  return (allocationsPerZone.get(zone) ?? 0) < getMaxTasksPerZone(spec);
 }
 
-/** How many more tasks of the job may run in the zone. */
+/** Returns how many more tasks of the job may run in the zone. */
 export function remainingZoneTasks(
   spec: JobSpec,
   allocationsPerZone: ReadonlyMap<string, number>,
   zone: string,
 ): number {
   if (!allowsZone(spec, allocationsPerZone, zone)) return 0;
-  return maxTasksPerZone(spec) - (allocationsPerZone.get(zone) ?? 0);
+  return getMaxTasksPerZone(spec) - (allocationsPerZone.get(zone) ?? 0);
 }
 
-/** Whether one task of this size fits into what is free. */
+/** Whether one task of this size fits into the free resources. */
 export function fits(taskSize: Resources, free: Resources): boolean {
   return (
     taskSize.cpus <= free.cpus + EPSILON &&
@@ -65,16 +65,16 @@
   );
 }
 
-/** How many tasks of this size fit into what is free; 0 for a task that needs nothing. */
+/** Returns how many tasks of this size fit into the free resources, or 0 for a task that needs no resources. */
 export function tasksThatFit(taskSize: Resources, free: Resources): number {
   const count = Math.min(
-    timesContained(taskSize.cpus, free.cpus),
-    timesContained(taskSize.accelerators, free.accelerators),
-    timesContained(taskSize.memGb, free.memGb),
+    countUnitsThatFit(taskSize.cpus, free.cpus),
+    countUnitsThatFit(taskSize.accelerators, free.accelerators),
+    countUnitsThatFit(taskSize.memGb, free.memGb),
   );
   return Number.isFinite(count) ? Math.max(0, count) : 0;
 }
 
-function timesContained(needed: number, available: number): number {
+function countUnitsThatFit(needed: number, available: number): number {
   return needed > 0 ? Math.floor((available + EPSILON) / needed) : Infinity;
 }
--- a/src/scheduler/preemption-search.ts
+++ b/src/scheduler/preemption-search.ts
@@ -1,52 +1,57 @@
-/** What one search for preemptions has found out, so that equal jobs share it. */
+/** Caches the results of one search for preemptions, so that equal jobs share them. */
 import type { Job } from '../cluster/cluster-state.js';
 import type { JobSpec } from '../state/records.js';
 import { UnschedulableRequests } from './unschedulable-requests.js';
 
 /**
- * What jobs of one rank, one team and one standing to their guarantee may preempt, and in which zones that was found not
- * to be enough.
+ * The jobs that a group of waiting jobs may preempt, and the zones in which preempting them was found to be
+ * insufficient. The waiting jobs of a group have the same rank and team, and all or none of them are within the team's
+ * guarantee.
  */
 export class PreemptionScope {
-  private readonly exhaustedByZone = new Map<string, UnschedulableRequests>();
+  private readonly unschedulableByZone = new Map<string, UnschedulableRequests>();
 
-  /** `victims`: the jobs of which tasks may be stopped. */
+  /** Creates a scope. `victims` are the jobs whose tasks may be stopped. */
   constructor(readonly victims: ReadonlySet<Job>) {}
 
-  /** Whether it is known that no node of the zone can be cleared for such a task. */
-  isExhaustedIn(zone: string, spec: JobSpec): boolean {
-    return this.exhaustedByZone.get(zone)?.covers(spec) ?? false;
+  /** Whether it is known that preemption can't free enough capacity for such a task on any node of the zone. */
+  isZoneExhausted(zone: string, spec: JobSpec): boolean {
+    return this.unschedulableByZone.get(zone)?.covers(spec) ?? false;
   }
 
-  /** No node of the zone can be cleared for such a task. */
-  recordExhausted(zone: string, spec: JobSpec): void {
-    let exhausted = this.exhaustedByZone.get(zone);
-    if (!exhausted) this.exhaustedByZone.set(zone, (exhausted = new UnschedulableRequests()));
-    exhausted.record(spec);
+  /** Records that preemption can't free enough capacity for such a task on any node of the zone. */
+  recordExhaustedZone(zone: string, spec: JobSpec): void {
+    let unschedulableRequests = this.unschedulableByZone.get(zone);
+    if (!unschedulableRequests)
+      this.unschedulableByZone.set(zone, (unschedulableRequests = new UnschedulableRequests()));
+    unschedulableRequests.record(spec);
   }
 }
 
 /**
- * One search for what may be preempted for waiting jobs. What can be cleared only shrinks during a search, so hundreds of
- * jobs that are alike cost one search through the nodes, not one each.
+ * One search for tasks that may be preempted for waiting jobs. The capacity that preemption can free only shrinks
+ * during a search. Hundreds of similar jobs therefore need one search through the nodes in total, and not one each.
  */
 export class PreemptionSearch {
-  private readonly scopes = new Map<string, PreemptionScope>();
+  private readonly scopesByKey = new Map<string, PreemptionScope>();
 
   constructor(
     private readonly openJobs: readonly Job[],
     private readonly mayPreempt: (job: Job, victim: Job) => boolean,
   ) {}
 
-  /** The scope that a job shares with all others of its rank, team and standing to the guarantee. */
-  scopeOf(job: Job, isWithinGuarantee: boolean): PreemptionScope {
+  /**
+   * Returns the scope of a job. The job shares it with all other jobs of the same rank and team that are also within,
+   * or also not within, the team's guarantee.
+   */
+  getScope(job: Job, isWithinGuarantee: boolean): PreemptionScope {
     const key = `${job.rank}/${job.spec.team}/${isWithinGuarantee}`;
-    let scope = this.scopes.get(key);
+    let scope = this.scopesByKey.get(key);
     if (!scope) {
       const victims = this.openJobs.filter(
         (victim) => victim.allocations.size > 0 && this.mayPreempt(job, victim),
       );
-      this.scopes.set(key, (scope = new PreemptionScope(new Set(victims))));
+      this.scopesByKey.set(key, (scope = new PreemptionScope(new Set(victims))));
     }
     return scope;
   }
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,33 +1,36 @@
-/** Which running tasks have to stop so that a waiting task finds capacity, and what that costs. */
+/** Finds the running tasks that have to stop to make capacity for a waiting task, and computes the cost of that. */
 import type { Attempt, Job, Node } from '../cluster/cluster-state.js';
 import { addResources, type MutableResources } from '../cluster/resources.js';
 import type { NodeCapacity } from './node-filter.js';
 import { allowsZone, fits, satisfiesConstraints } from './placement-constraints.js';
 
-/** An attempt of a known job. */
+/** An attempt whose job is known. */
 export type JobAttempt = Attempt & { readonly job: Job };
 
-/** Where a waiting task finds capacity, and which attempts have to stop for it; none if it only has to wait. */
+/**
+ * A node on which a waiting task can get capacity, and the attempts that have to stop for it. There are no such
+ * attempts if the task only has to wait.
+ */
 export interface Preemption {
   readonly nodeCapacity: NodeCapacity;
   readonly victims: readonly JobAttempt[];
-  /** What it costs, in seconds of lost work and of waiting. */
+  /** Cost of the preemption, in seconds of lost work and of waiting. */
   readonly costS: number;
 }
 
-/** What a search for preemptions goes by. */
+/** The rules and costs for a search for preemptions. */
 export interface PreemptionPolicy {
-  /** Seconds that the node takes to pull the waiting job's image; they count like lost seconds. */
-  readonly imagePullS: (node: Node) => number;
+  /** Time, in seconds, for the node to pull the waiting job's image. It counts as much as lost work. */
+  readonly estimateImagePullS: (node: Node) => number;
   /** Whether tasks of this job may be stopped for the waiting job. */
   readonly mayPreempt: (victim: Job) => boolean;
-  /** What stopping an attempt costs, in seconds. */
-  readonly stopCostS: (victim: JobAttempt) => number;
+  /** Cost of stopping an attempt, in seconds. */
+  readonly computeStopCostS: (victim: JobAttempt) => number;
 }
 
 /**
- * The nodes on which a task of `job` can get capacity, one task each, the cheapest first. What is free on them is given
- * less what was promised to others.
+ * Returns the preemptions that give capacity to one task of `job` each, at most one per node, cheapest first. The free
+ * resources in `nodes` must not include those that are reserved for other tasks.
  */
 export function rankPreemptions(
   job: Job,
@@ -42,15 +45,18 @@
     const preemption = findPreemption(job, nodeCapacity, policy);
     if (preemption) preemptions.push(preemption);
   }
-  return preemptions.sort(byCost);
+  return preemptions.sort(compareByCost);
 }
 
-/** Orders preemptions by what they cost. */
-export function byCost(a: Preemption, b: Preemption): number {
+/** Compares preemptions by their costs. */
+export function compareByCost(a: Preemption, b: Preemption): number {
   return a.costS - b.costS;
 }
 
-/** Stops what costs least first, until a task of the job fits; undefined if it never does. */
+/**
+ * Selects the cheapest attempts to stop until a task of the job fits on the node. Returns undefined if it does not fit
+ * even after all preemptible attempts are stopped.
+ */
 function findPreemption(
   job: Job,
   nodeCapacity: NodeCapacity,
@@ -58,8 +64,8 @@
 ): Preemption | undefined {
   const { node } = nodeCapacity;
   const victims: JobAttempt[] = [];
-  const free = freeAfterRequestedStops(nodeCapacity);
-  let costS = policy.imagePullS(node);
+  const free = computeFreeAfterRequestedStops(nodeCapacity);
+  let costS = policy.estimateImagePullS(node);
   if (!fits(job.spec, free)) {
     for (const candidate of rankVictims(node, policy)) {
       victims.push(candidate.attempt);
@@ -71,22 +77,22 @@
   return fits(job.spec, free) ? { nodeCapacity, victims, costS } : undefined;
 }
 
-/** Attempts that are already being stopped free their resources by themselves. */
-function freeAfterRequestedStops({ node, free }: NodeCapacity): MutableResources {
-  const freeLater = { ...free };
+/** Returns the resources that will be free once the attempts that are already being stopped have ended. */
+function computeFreeAfterRequestedStops({ node, free }: NodeCapacity): MutableResources {
+  const freeAfterStops = { ...free };
   for (const attempt of node.attempts.values())
-    if (attempt.stopRequest && attempt.state !== 'exited') addResources(freeLater, attempt.resources, 1);
-  return freeLater;
+    if (attempt.stopRequest && attempt.state !== 'exited') addResources(freeAfterStops, attempt.resources, 1);
+  return freeAfterStops;
 }
 
-/** The attempts on the node that may be stopped, the cheapest first. */
+/** Returns the attempts on the node that may be stopped, cheapest first. */
 function rankVictims(
   node: Node,
   policy: PreemptionPolicy,
 ): { readonly attempt: JobAttempt; readonly stopCostS: number }[] {
   return [...node.attempts.values()]
     .filter((attempt): attempt is JobAttempt => isPreemptible(attempt, policy))
-    .map((attempt) => ({ attempt, stopCostS: policy.stopCostS(attempt) }))
+    .map((attempt) => ({ attempt, stopCostS: policy.computeStopCostS(attempt) }))
     .sort((a, b) => a.stopCostS - b.stopCostS);
 }
 
--- a/src/scheduler/preemptor.ts
+++ b/src/scheduler/preemptor.ts
@@ -1,141 +1,150 @@
-/** Stops running tasks of lower rank, or beyond their team's guarantee, for jobs that wait. */
+/** Stops running tasks of lower rank, or of teams that exceed their guarantee, for waiting jobs. */
 import type { Logger } from 'pino';
 import { taskName, type Attempt, type ClusterState, type Job, type Node } from '../cluster/cluster-state.js';
 import { addResources } from '../cluster/resources.js';
 import {
   MISSED_DEADLINE_PENALTY_S,
-  PREEMPT_AFTER_MS,
-  PREEMPT_PROD_AFTER_MS,
+  PREEMPTION_WAIT_MS,
+  PROD_PREEMPTION_WAIT_MS,
   SCALE_OUT_MIN_INTERVAL_MS,
 } from '../constants.js';
 import { RANKS } from '../state/records.js';
 import { FreeCapacityIndex } from './free-capacity-index.js';
 import type { NodeCapacity } from './node-filter.js';
 import { allowsZone } from './placement-constraints.js';
-import { byCost, rankPreemptions, type JobAttempt, type Preemption } from './preemption.js';
+import { compareByCost, rankPreemptions, type JobAttempt, type Preemption } from './preemption.js';
 import { PreemptionSearch, type PreemptionScope } from './preemption-search.js';
 import type { QuotaTracker } from './quota-tracker.js';
-import { imagePullS, remainingRunS, timeToDeadlineS, type ImagePullRate } from './time-estimates.js';
+import { estimateImagePullS, remainingRunS, timeToDeadlineS, type ImagePullRate } from './time-estimates.js';
 
-/** Dependencies of Preemptor. */
+/** The dependencies of `Preemptor`. */
 export interface PreemptorDependencies {
   readonly clusterState: ClusterState;
-  /** Instance types by name. */
+  /** Returns the instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, ImagePullRate>;
   readonly quotaTracker: QuotaTracker;
-  /** What is free on each of these nodes that may be given new tasks. */
-  readonly freeCapacity: (nodes: Iterable<Node>, now: number) => NodeCapacity[];
+  /** Returns the free resources of those of the given nodes on which new tasks may be placed. */
+  readonly findFreeCapacity: (nodes: Iterable<Node>, nowMs: number) => NodeCapacity[];
+  /** Returns the current wall time in milliseconds. */
   readonly wallMs: () => number;
-  /** Stops a task, which has this many seconds to save a checkpoint. */
+  /** Stops a task after a grace period, in seconds, in which the task can save a checkpoint. */
   readonly stopTask: (attempt: Attempt, gracePeriodS: number) => void;
   readonly log: Logger;
 }
 
-/** Makes capacity for waiting jobs by stopping what may be stopped for them. */
+/** Makes capacity for waiting jobs by preempting tasks of other jobs. */
 export class Preemptor {
-  /** Steady ms at which jobs of all ranks were last considered. */
+  /** Steady time, in milliseconds, at which waiting jobs of all ranks were last considered. */
   private lastFullSearchMs = -Infinity;
 
-  constructor(private readonly deps: PreemptorDependencies) {}
+  constructor(private readonly dependencies: PreemptorDependencies) {}
 
   /**
-   * Stops tasks for the waiting jobs, in their order. Services in production are considered each time, all other jobs
-   * only now and then.
+   * Stops tasks for the waiting jobs, in their order. Jobs of rank `prod` are considered each time, and all other jobs
+   * only at a minimum interval. `withinGuarantee` contains the jobs that are within their team's guarantee.
    */
   preempt(
     openJobs: readonly Job[],
     waitingJobs: readonly Job[],
     withinGuarantee: ReadonlySet<Job>,
-    now: number,
+    nowMs: number,
   ): void {
-    const isFullSearch = now - this.lastFullSearchMs >= SCALE_OUT_MIN_INTERVAL_MS;
-    if (isFullSearch) this.lastFullSearchMs = now;
+    const isFullSearch = nowMs - this.lastFullSearchMs >= SCALE_OUT_MIN_INTERVAL_MS;
+    if (isFullSearch) this.lastFullSearchMs = nowMs;
     const search = new PreemptionSearch(openJobs, (job, victim) =>
       this.mayPreempt(job, victim, withinGuarantee),
     );
     let nodes: FreeCapacityIndex | undefined;
     for (const job of waitingJobs) {
-      if (!isDueForPreemption(job, isFullSearch, now)) continue;
-      const scope = search.scopeOf(job, withinGuarantee.has(job));
-      // Replicas that wait for a zone without nodes are no reason to search all the others.
+      if (!isDueForPreemption(job, isFullSearch, nowMs)) continue;
+      const scope = search.getScope(job, withinGuarantee.has(job));
+      // Replicas that wait for a zone without nodes must not cause a search of all other zones.
       if (scope.victims.size === 0 || !this.hasZoneToSearch(job, scope)) continue;
-      nodes ??= new FreeCapacityIndex(this.deps.freeCapacity(this.deps.clusterState.nodes.values(), now));
-      this.preemptFor(job, scope, nodes, now);
+      nodes ??= new FreeCapacityIndex(
+        this.dependencies.findFreeCapacity(this.dependencies.clusterState.nodes.values(), nowMs),
+      );
+      this.preemptForJob(job, scope, nodes, nowMs);
     }
   }
 
-  /** Whether there is a zone with nodes that the job may use and that is not known to be exhausted. */
+  /** Whether the job may use a zone that has nodes and is not known to be exhausted. */
   private hasZoneToSearch(job: Job, scope: PreemptionScope): boolean {
-    for (const zone of this.deps.clusterState.nodesPerZone.keys())
-      if (allowsZone(job.spec, job.allocationsPerZone, zone) && !scope.isExhaustedIn(zone, job.spec))
+    for (const zone of this.dependencies.clusterState.nodesPerZone.keys())
+      if (allowsZone(job.spec, job.allocationsPerZone, zone) && !scope.isZoneExhausted(zone, job.spec))
         return true;
     return false;
   }
 
-  private preemptFor(job: Job, scope: PreemptionScope, nodes: FreeCapacityIndex, now: number): void {
-    let remaining = Math.min(job.pendingTasks, this.deps.quotaTracker.remainingTasks(job));
-    if (remaining <= 0) return;
+  private preemptForJob(job: Job, scope: PreemptionScope, nodes: FreeCapacityIndex, nowMs: number): void {
+    let remainingTasks = Math.min(job.pendingTasks, this.dependencies.quotaTracker.countRemainingTasks(job));
+    if (remainingTasks <= 0) return;
     const allocationsPerZone = new Map(job.allocationsPerZone);
-    for (const preemption of this.findPreemptions(job, scope, nodes, now)) {
-      if (remaining-- <= 0) return;
+    for (const preemption of this.findPreemptions(job, scope, nodes, nowMs)) {
+      if (remainingTasks-- <= 0) return;
       const { zone } = preemption.nodeCapacity.node;
       if (!allowsZone(job.spec, allocationsPerZone, zone)) continue;
-      this.carryOut(preemption, job);
+      this.execute(preemption, job);
       allocationsPerZone.set(zone, (allocationsPerZone.get(zone) ?? 0) + 1);
     }
   }
 
-  /** The preemptions that give the job's tasks capacity, the cheapest first. */
+  /** Returns the preemptions that give capacity to the job's tasks, cheapest first. */
   private findPreemptions(
     job: Job,
     scope: PreemptionScope,
     nodes: FreeCapacityIndex,
-    now: number,
+    nowMs: number,
   ): Preemption[] {
     const policy = {
-      imagePullS: (node: Node) => imagePullS(node, job.spec, this.deps.instanceTypes()),
+      estimateImagePullS: (node: Node) =>
+        estimateImagePullS(node, job.spec, this.dependencies.instanceTypes()),
       mayPreempt: (victim: Job) => scope.victims.has(victim),
-      stopCostS: (victim: JobAttempt) => this.stopCostS(victim, now),
+      computeStopCostS: (victim: JobAttempt) => this.computeStopCostS(victim, nowMs),
     };
     const preemptions: Preemption[] = [];
     for (const zone of nodes.zones) {
-      if (!allowsZone(job.spec, job.allocationsPerZone, zone) || scope.isExhaustedIn(zone, job.spec))
+      if (!allowsZone(job.spec, job.allocationsPerZone, zone) || scope.isZoneExhausted(zone, job.spec))
         continue;
-      const found = rankPreemptions(job, nodes.inZone(zone), policy);
-      if (found.length === 0) scope.recordExhausted(zone, job.spec);
-      preemptions.push(...found);
+      const preemptionsInZone = rankPreemptions(job, nodes.getNodesInZone(zone), policy);
+      if (preemptionsInZone.length === 0) scope.recordExhaustedZone(zone, job.spec);
+      preemptions.push(...preemptionsInZone);
     }
-    return preemptions.sort(byCost);
+    return preemptions.sort(compareByCost);
   }
 
-  private carryOut({ nodeCapacity, victims }: Preemption, job: Job): void {
-    // The capacity is promised to the waiting task; the next search counts it as free again.
+  private execute({ nodeCapacity, victims }: Preemption, job: Job): void {
+    // The capacity is reserved for the waiting task during this search. The next search counts it as free again.
     addResources(nodeCapacity.free, job.spec, -1);
     for (const victim of victims) {
-      this.deps.log.info({ task: taskName(victim), for: job.uid }, 'task preempted');
-      this.deps.stopTask(victim, victim.job.spec.checkpointS);
+      this.dependencies.log.info({ task: taskName(victim), for: job.uid }, 'task preempted');
+      this.dependencies.stopTask(victim, victim.job.spec.checkpointS);
     }
   }
 
-  /** What stopping a task costs, in seconds: its work, and its job's deadline if that could be met until now. */
-  private stopCostS(victim: JobAttempt, now: number): number {
-    const ranS = (now - victim.startedMs) / 1000;
-    const deadlineS = timeToDeadlineS(victim.job, this.deps.wallMs());
-    const missesDeadline =
-      deadlineS >= remainingRunS(victim, now) && deadlineS < victim.job.progress.expectedRunTimeS;
-    return ranS + (missesDeadline ? MISSED_DEADLINE_PENALTY_S : 0);
+  /**
+   * Computes the cost of stopping a task, in seconds. The cost is the time that the task has run, plus a penalty if its
+   * job could still meet its deadline but would miss it after the stop.
+   */
+  private computeStopCostS(victim: JobAttempt, nowMs: number): number {
+    const elapsedRunS = (nowMs - victim.startedMs) / 1000;
+    const deadlineS = timeToDeadlineS(victim.job, this.dependencies.wallMs());
+    const wouldMissDeadline =
+      deadlineS >= remainingRunS(victim, nowMs) && deadlineS < victim.job.progress.expectedRunTimeS;
+    return elapsedRunS + (wouldMissDeadline ? MISSED_DEADLINE_PENALTY_S : 0);
   }
 
   private mayPreempt(job: Job, victim: Job, withinGuarantee: ReadonlySet<Job>): boolean {
     if (RANKS.indexOf(victim.rank) > RANKS.indexOf(job.rank)) return true;
     if (!withinGuarantee.has(job) || victim.spec.team === job.spec.team || withinGuarantee.has(victim))
       return false;
-    return this.deps.quotaTracker.exceedsGuarantee(victim);
+    return this.dependencies.quotaTracker.exceedsGuarantee(victim);
   }
 }
 
-function isDueForPreemption(job: Job, isFullSearch: boolean, now: number): boolean {
-  const isProd = job.rank === 'prod';
-  if (!isProd && !isFullSearch) return false;
-  return now - job.queueTimes.pendingSinceMs >= (isProd ? PREEMPT_PROD_AFTER_MS : PREEMPT_AFTER_MS);
+function isDueForPreemption(job: Job, isFullSearch: boolean, nowMs: number): boolean {
+  const isProduction = job.rank === 'prod';
+  if (!isProduction && !isFullSearch) return false;
+  return (
+    nowMs - job.queueTimes.pendingSinceMs >= (isProduction ? PROD_PREEMPTION_WAIT_MS : PREEMPTION_WAIT_MS)
+  );
 }
--- a/src/scheduler/queue-order.ts
+++ b/src/scheduler/queue-order.ts
@@ -1,21 +1,27 @@
-/** The order in which waiting jobs are scheduled. */
-import { EPSILON, LATE_JOB_DUE_MS, UNDATED_JOB_DUE_MS } from '../constants.js';
+/** Determines the order in which waiting jobs are scheduled. */
+import { EPSILON, LATE_JOB_DUE_DELAY_MS, NO_DEADLINE_JOB_DUE_DELAY_MS } from '../constants.js';
 import { RANKS, type JobSpec, type Rank } from '../state/records.js';
 import type { TeamQuota } from './team-quota.js';
 
-/** What decides a job's place in the queue. */
+/** The properties of a job that determine its position in the queue. */
 export interface QueuedJob {
   readonly spec: JobSpec;
-  /** Its own rank, or a higher one inherited from a job that depends on it. */
+  /** The job's own rank, or a higher one that it inherited from a job that depends on it. */
   readonly rank: Rank;
-  /** Wall ms since when it may run. */
+  /** Wall time, in milliseconds, since which the job may run. */
   readonly queuedMs: number;
-  /** Wall ms of the first deadline of it or of a job that depends on it; Infinity: there is none. */
+  /**
+   * Wall time, in milliseconds, of the earliest deadline among the job and the jobs that depend on it. Infinity if none
+   * of them has a deadline.
+   */
   readonly earliestDeadlineMs: number;
-  readonly unfinishedTasks: number;
+  readonly unfinishedTaskCount: number;
 }
 
-/** The jobs within their team's guarantee: those that fit into it together with the team's earlier unfinished jobs. */
+/**
+ * Returns the jobs within their team's guarantee. These are the jobs that fit into the guarantee together with the
+ * team's earlier unfinished jobs.
+ */
 export function findJobsWithinGuarantee<T extends QueuedJob>(
   jobs: Iterable<T>,
   quotas: ReadonlyMap<string, TeamQuota>,
@@ -30,40 +36,45 @@
   for (const job of [...jobs].sort((a, b) => a.queuedMs - b.queuedMs)) {
     const remaining = remainingPerTeam.get(job.spec.team);
     if (!remaining) continue;
-    remaining.cpus -= job.unfinishedTasks * job.spec.cpus;
-    remaining.accelerators -= job.unfinishedTasks * job.spec.accelerators;
+    remaining.cpus -= job.unfinishedTaskCount * job.spec.cpus;
+    remaining.accelerators -= job.unfinishedTaskCount * job.spec.accelerators;
     if (remaining.cpus >= -EPSILON && remaining.accelerators >= -EPSILON) withinGuarantee.add(job);
   }
   return withinGuarantee;
 }
 
 /**
- * Compares jobs by when they are scheduled: by rank; then what is guaranteed and can still be in time, or starves; then
- * the earliest turn; then the oldest. `isStarving` tells whether a job has waited too long without a running task, `dueMs`
- * the wall ms of its earliest deadline that can still be met (Infinity: there is none).
+ * Returns a function that compares jobs by the order in which they are scheduled. Jobs are ordered by rank. Within a
+ * rank, two kinds of jobs come first: starving jobs, and jobs within their team's guarantee that have no deadline or
+ * can still meet one. After that, jobs are ordered by their effective due time and then by their time in the queue.
+ *
+ * @param withinGuarantee - the jobs within their team's guarantee
+ * @param isStarving - whether a job has waited too long without a running task
+ * @param getDueMs - wall time in ms of the earliest deadline that a job can still meet, or Infinity if there is none
  */
 export function compareByRelease<T extends QueuedJob>(
   withinGuarantee: ReadonlySet<T>,
   isStarving: (job: T) => boolean,
-  dueMs: (job: T) => number,
+  getDueMs: (job: T) => number,
 ): (a: T, b: T) => number {
-  const isLate = (job: T): boolean => job.earliestDeadlineMs < Infinity && dueMs(job) === Infinity;
+  const isLate = (job: T): boolean => job.earliestDeadlineMs < Infinity && getDueMs(job) === Infinity;
   const isPreferred = (job: T): boolean => (withinGuarantee.has(job) && !isLate(job)) || isStarving(job);
   return (a, b) =>
     RANKS.indexOf(a.rank) - RANKS.indexOf(b.rank) ||
     Number(isPreferred(b)) - Number(isPreferred(a)) ||
-    turnMs(a, dueMs(a)) - turnMs(b, dueMs(b)) ||
+    getEffectiveDueMs(a, getDueMs(a)) - getEffectiveDueMs(b, getDueMs(b)) ||
     a.queuedMs - b.queuedMs;
 }
 
 /**
- * Wall ms of a job's turn: its earliest deadline that can still be met. The undated successor of a late job, and a job
- * without deadline, take their turn as if they were due some time later: behind the dated work of that time, and before
- * all that comes after it. So each job waits for a bounded amount of other work only.
+ * Returns the wall time, in milliseconds, by which a job is ordered. This is its earliest deadline that can still be
+ * met. A late job is ordered as if it were due some time after its missed deadline, and a job without a deadline as if
+ * it were due some time after it was queued. Such a job comes after the jobs with deadlines before that time, and
+ * before all jobs with later deadlines. Each job therefore waits for a bounded amount of other work only.
  */
-function turnMs(job: QueuedJob, dueMs: number): number {
+function getEffectiveDueMs(job: QueuedJob, dueMs: number): number {
   if (dueMs < Infinity) return dueMs;
   return job.earliestDeadlineMs < Infinity
-    ? job.earliestDeadlineMs + LATE_JOB_DUE_MS
-    : job.queuedMs + UNDATED_JOB_DUE_MS;
+    ? job.earliestDeadlineMs + LATE_JOB_DUE_DELAY_MS
+    : job.queuedMs + NO_DEADLINE_JOB_DUE_DELAY_MS;
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -1,9 +1,9 @@
-/** The scheduler: gives waiting tasks to nodes by filter and score, within the quotas of their teams. */
+/** The scheduler places waiting tasks on nodes by filtering and scoring, within the quotas of their teams. */
 import type { Logger } from 'pino';
 import type { Attempt, ClusterState, Job, Node } from '../cluster/cluster-state.js';
 import type { NodeHealth } from '../cluster/node-health.js';
 import { addResources, type Resources } from '../cluster/resources.js';
-import { MIN_STARTS_PER_CYCLE } from '../constants.js';
+import { MIN_START_LIMIT_PER_CYCLE } from '../constants.js';
 import type { AttemptNumbers } from './attempt-numbers.js';
 import { FreeCapacityIndex } from './free-capacity-index.js';
 import { isFeasible, type NodeCapacity } from './node-filter.js';
@@ -12,77 +12,78 @@
 import { Preemptor } from './preemptor.js';
 import { QuotaTracker } from './quota-tracker.js';
 import type { TeamQuota } from './team-quota.js';
-import { imagePullS, type ImagePullRate } from './time-estimates.js';
+import { estimateImagePullS, type ImagePullRate } from './time-estimates.js';
 import { UnschedulableRequests } from './unschedulable-requests.js';
 
-/** Dependencies of Scheduler. */
+/** The dependencies of `Scheduler`. */
 export interface SchedulerDependencies {
   readonly clusterState: ClusterState;
   readonly nodeHealth: NodeHealth;
   /** All jobs by uid. */
   readonly jobs: ReadonlyMap<string, Job>;
-  /** Quotas by name of the team. */
+  /** Quotas by team name. */
   readonly quotas: ReadonlyMap<string, TeamQuota>;
-  /** The numbers of the attempts of this term. */
+  /** Issues the attempt numbers of this term. */
   readonly attemptNumbers: AttemptNumbers;
-  /** Instance types by name. */
+  /** Returns the instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, ImagePullRate>;
   /** Whether every node of earlier terms is reconciled. */
   readonly isReconciled: () => boolean;
+  /** Returns the current wall time in milliseconds. */
   readonly wallMs: () => number;
-  /** Stops a task, which has this many seconds to save a checkpoint. */
+  /** Stops a task after a grace period, in seconds, in which the task can save a checkpoint. */
   readonly stopTask: (attempt: Attempt, gracePeriodS: number) => void;
   readonly log: Logger;
 }
 
-/** What one scheduling cycle has left to give, and what it has found out. */
+/** The remaining free capacity and the intermediate results of one scheduling cycle. */
 interface SchedulingCycleState {
   readonly nodes: FreeCapacityIndex;
-  readonly unschedulable: UnschedulableRequests;
+  readonly unschedulableRequests: UnschedulableRequests;
   remainingStarts: number;
 }
 
-/** Places waiting tasks on nodes with free capacity, and has others stopped for them where that is allowed. */
+/** Places waiting tasks on nodes with free capacity, and preempts other tasks for them if that is allowed. */
 export class Scheduler {
   private readonly quotaTracker: QuotaTracker;
   private readonly preemptor: Preemptor;
 
-  constructor(private readonly deps: SchedulerDependencies) {
-    this.quotaTracker = new QuotaTracker(deps);
+  constructor(private readonly dependencies: SchedulerDependencies) {
+    this.quotaTracker = new QuotaTracker(dependencies);
     this.preemptor = new Preemptor({
-      clusterState: deps.clusterState,
-      instanceTypes: deps.instanceTypes,
+      clusterState: dependencies.clusterState,
+      instanceTypes: dependencies.instanceTypes,
       quotaTracker: this.quotaTracker,
-      freeCapacity: (nodes, now) => this.freeCapacity(nodes, now),
-      wallMs: deps.wallMs,
-      stopTask: deps.stopTask,
-      log: deps.log,
+      findFreeCapacity: (nodes, nowMs) => this.findFreeCapacity(nodes, nowMs),
+      wallMs: dependencies.wallMs,
+      stopTask: dependencies.stopTask,
+      log: dependencies.log,
     });
   }
 
-  /** Whether a new term must begin, as the attempt numbers of this one are running out. */
+  /** Whether a new term must begin because the attempt numbers of this term are running out. */
   get needsNewTerm(): boolean {
-    return this.deps.attemptNumbers.areRunningOut;
+    return this.dependencies.attemptNumbers.areRunningOut;
   }
 
-  /** How many more tasks of the job the quota of its team allows, where `planned` was promised to the team besides. */
-  remainingQuotaOf(job: Job, planned?: Resources): number {
-    return this.quotaTracker.remainingTasks(job, planned);
+  /** Returns how many more tasks of the job its team's quota allows if `plannedUsage` is reserved for other tasks. */
+  remainingQuotaOf(job: Job, plannedUsage?: Resources): number {
+    return this.quotaTracker.countRemainingTasks(job, plannedUsage);
   }
 
   /**
-   * Plans attempts for the jobs' waiting tasks, in the order of the jobs. Visits each node and each job once, however
-   * many tasks wait. Returns the jobs that still wait for capacity.
+   * Plans attempts for the jobs' waiting tasks, in the order of the jobs. Visits each node and each job once,
+   * regardless of the number of waiting tasks. Returns the jobs that still wait for capacity.
    */
-  schedule(openJobs: readonly Job[], now: number): Job[] {
-    this.quotaTracker.recountUnreconciled();
-    const cycle = this.beginCycle(now);
+  schedule(openJobs: readonly Job[], nowMs: number): Job[] {
+    this.quotaTracker.recountUnreconciledUsage();
+    const cycle = this.beginCycle(nowMs);
     const waitingJobs: Job[] = [];
     for (const job of openJobs) {
-      const mayStart = this.mayStart(job, now);
-      if (mayStart) this.placeJob(job, cycle, now);
+      const mayStart = this.mayStart(job, nowMs);
+      if (mayStart) this.placeJob(job, cycle, nowMs);
       if (mayStart && job.pendingTasks > 0) {
-        job.queueTimes.recordPending(job.allocations.size, now);
+        job.queueTimes.recordPending(job.allocations.size, nowMs);
         waitingJobs.push(job);
       } else {
         job.queueTimes.recordNotPending();
@@ -91,66 +92,73 @@
     return waitingJobs;
   }
 
-  /** Stops tasks for the waiting jobs where that is allowed; `withinGuarantee` are the jobs within their team's guarantee. */
+  /**
+   * Preempts tasks for the waiting jobs if that is allowed. `withinGuarantee` contains the jobs that are within their
+   * team's guarantee.
+   */
   preempt(
     openJobs: readonly Job[],
     waitingJobs: readonly Job[],
     withinGuarantee: ReadonlySet<Job>,
-    now: number,
+    nowMs: number,
   ): void {
-    this.preemptor.preempt(openJobs, waitingJobs, withinGuarantee, now);
+    this.preemptor.preempt(openJobs, waitingJobs, withinGuarantee, nowMs);
   }
 
-  private beginCycle(now: number): SchedulingCycleState {
-    const { nodesWithFreeCapacity } = this.deps.clusterState;
+  private beginCycle(nowMs: number): SchedulingCycleState {
+    const { nodesWithFreeCapacity } = this.dependencies.clusterState;
     return {
-      nodes: new FreeCapacityIndex(this.freeCapacity(nodesWithFreeCapacity, now)),
-      unschedulable: new UnschedulableRequests(),
-      remainingStarts: Math.max(MIN_STARTS_PER_CYCLE, nodesWithFreeCapacity.size),
+      nodes: new FreeCapacityIndex(this.findFreeCapacity(nodesWithFreeCapacity, nowMs)),
+      unschedulableRequests: new UnschedulableRequests(),
+      remainingStarts: Math.max(MIN_START_LIMIT_PER_CYCLE, nodesWithFreeCapacity.size),
     };
   }
 
-  /** What is free on each of the nodes that may be given new tasks. */
-  private freeCapacity(nodes: Iterable<Node>, now: number): NodeCapacity[] {
+  /** Returns the free resources of those of the given nodes on which new tasks may be placed. */
+  private findFreeCapacity(nodes: Iterable<Node>, nowMs: number): NodeCapacity[] {
     const capacities: NodeCapacity[] = [];
     for (const node of nodes) {
-      if (node.persisted && this.deps.nodeHealth.isSchedulable(node, now))
-        capacities.push({ node, free: this.deps.clusterState.freeResources(node) });
+      if (node.persisted && this.dependencies.nodeHealth.isSchedulable(node, nowMs))
+        capacities.push({ node, free: this.dependencies.clusterState.freeResources(node) });
     }
     return capacities;
   }
 
-  /** Not while it backs off after a failure, nor while its tasks may still run on unreconciled nodes. */
-  private mayStart(job: Job, now: number): boolean {
-    if (now < job.progress.startNotBeforeMs) return false;
-    return this.deps.isReconciled() || !job.startedInEarlierTerm;
+  /**
+   * Whether tasks of the job may start. They must not start while the job backs off after a failure, or while its tasks
+   * may still run on unreconciled nodes.
+   */
+  private mayStart(job: Job, nowMs: number): boolean {
+    if (nowMs < job.progress.earliestStartMs) return false;
+    return this.dependencies.isReconciled() || !job.startedInEarlierTerm;
   }
 
-  /** Places as many tasks of the job as its quota, the cycle and the nodes allow. */
-  private placeJob(job: Job, cycle: SchedulingCycleState, now: number): void {
-    const limit = Math.min(this.quotaTracker.remainingTasks(job), cycle.remainingStarts);
-    if (limit <= 0 || cycle.unschedulable.covers(job.spec)) return;
-    const started = this.placeTasks(job, cycle.nodes, limit, now);
-    cycle.remainingStarts -= started;
-    if (started > 0) cycle.nodes.dropFull();
-    else if (!cycle.nodes.some((node) => isFeasible(job.spec, node))) cycle.unschedulable.record(job.spec);
+  /** Places as many tasks of the job as its team's quota, the limit of the cycle and the nodes allow. */
+  private placeJob(job: Job, cycle: SchedulingCycleState, nowMs: number): void {
+    const maxStarts = Math.min(this.quotaTracker.countRemainingTasks(job), cycle.remainingStarts);
+    if (maxStarts <= 0 || cycle.unschedulableRequests.covers(job.spec)) return;
+    const startedCount = this.placeTasks(job, cycle.nodes, maxStarts, nowMs);
+    cycle.remainingStarts -= startedCount;
+    if (startedCount > 0) cycle.nodes.removeFullNodes();
+    else if (!cycle.nodes.hasNodeMatching((node) => isFeasible(job.spec, node)))
+      cycle.unschedulableRequests.record(job.spec);
   }
 
-  /** Fills the feasible nodes in the order of their score. Returns how many tasks were placed. */
-  private placeTasks(job: Job, nodes: FreeCapacityIndex, limit: number, now: number): number {
-    let task = job.findNextPendingTask();
-    if (task < 0) return 0;
-    let started = 0;
+  /** Fills the feasible nodes in the order of their scores. Returns the number of placed tasks. */
+  private placeTasks(job: Job, nodes: FreeCapacityIndex, maxStarts: number, nowMs: number): number {
+    let taskIndex = job.findNextPendingTask();
+    if (taskIndex < 0) return 0;
+    let startedCount = 0;
     for (const { node, free } of this.rankNodes(job, nodes)) {
       while (fits(job.spec, free) && allowsZone(job.spec, job.allocationsPerZone, node.zone)) {
-        this.planStart(job, task, node, now);
+        this.planStart(job, taskIndex, node, nowMs);
         addResources(free, job.spec, -1);
-        started++;
-        task = job.findNextPendingTask(task + 1);
-        if (task < 0 || started >= limit) return started;
+        startedCount++;
+        taskIndex = job.findNextPendingTask(taskIndex + 1);
+        if (taskIndex < 0 || startedCount >= maxStarts) return startedCount;
       }
     }
-    return started;
+    return startedCount;
   }
 
   private rankNodes(job: Job, nodes: FreeCapacityIndex): NodeCapacity[] {
@@ -159,17 +167,17 @@
       spec,
       allocationsPerZone,
       avoidsSpot: job.avoidsSpot,
-      avoidedNodes: job.progress.failedNodes,
+      avoidedNodeNames: job.progress.failedNodes,
     };
-    return scoreNodes(request, nodes.candidatesFor(spec, allocationsPerZone), (node) =>
-      imagePullS(node, spec, this.deps.instanceTypes()),
+    return scoreNodes(request, nodes.findCandidates(spec, allocationsPerZone), (node) =>
+      estimateImagePullS(node, spec, this.dependencies.instanceTypes()),
     );
   }
 
-  private planStart(job: Job, index: number, node: Node, now: number): void {
+  private planStart(job: Job, taskIndex: number, node: Node, nowMs: number): void {
     job.submitExecutableMembers();
-    const number = this.deps.attemptNumbers.next();
-    this.deps.clusterState.planAttempt({ job, index, number, node }, now);
+    const attemptNumber = this.dependencies.attemptNumbers.next();
+    this.dependencies.clusterState.planAttempt({ job, index: taskIndex, number: attemptNumber, node }, nowMs);
     node.markBusy();
   }
 }
--- a/src/scheduler/team-quota.ts
+++ b/src/scheduler/team-quota.ts
@@ -1,4 +1,4 @@
-/** Quotas of teams: what a team is guaranteed, and the limit that it never exceeds. */
+/** The quotas of teams. A quota consists of guaranteed resources and of limits that the team never exceeds. */
 import type { Resources } from '../cluster/resources.js';
 import { tasksThatFit } from './placement-constraints.js';
 
@@ -6,18 +6,21 @@
 export interface TeamQuota {
   /** Name of the team. */
   readonly name: string;
-  /** Processor cores that other teams never keep from it. */
+  /** Number of processor cores that other teams can't keep from the team. */
   readonly guaranteedCpus: number;
-  /** Processor cores that it never exceeds. */
+  /** Maximum number of processor cores that the team may use. */
   readonly cpuLimit: number;
-  /** Accelerators that other teams never keep from it. */
+  /** Number of accelerators that other teams can't keep from the team. */
   readonly guaranteedAccelerators: number;
-  /** Accelerators that it never exceeds. */
+  /** Maximum number of accelerators that the team may use. */
   readonly acceleratorLimit: number;
 }
 
-/** How many more tasks of this size a team may run; `used` is all that it may be running. Memory has no quota. */
-export function remainingQuota(quota: TeamQuota, used: Resources, taskSize: Resources): number {
+/**
+ * Returns how many more tasks of this size a team may run. `used` must include all resources that the team may be
+ * using. There is no quota for memory.
+ */
+export function countTasksWithinQuota(quota: TeamQuota, used: Resources, taskSize: Resources): number {
   return tasksThatFit(
     { ...taskSize, memGb: 0 },
     {
--- a/src/scheduler/time-estimates.ts
+++ b/src/scheduler/time-estimates.ts
@@ -1,31 +1,37 @@
-/** Estimates of time that scheduling, preemption and scaling share. */
-import { OVERRUN_SHARE } from '../constants.js';
+/** Time estimates that scheduling, preemption and scaling share. */
+import { OVERRUN_TIME_SHARE } from '../constants.js';
 import type { Attempt, Job, Node } from '../cluster/cluster-state.js';
 import type { JobSpec } from '../state/records.js';
 
-/** What the time to pull an image depends on, as far as the instance type goes. */
+/** The property of an instance type that determines the time to pull an image. */
 export interface ImagePullRate {
-  /** GB of an image that a node of the type pulls per second. */
+  /** Rate at which a node of the instance type pulls images, in GB per second. */
   readonly pullGbPerS: number;
 }
 
-/** Seconds until the deadline that orders the job's release; Infinity: it has none that can still be met. */
+/**
+ * Returns the seconds until the deadline that determines the job's position in the queue. Infinity if the job has no
+ * deadline that can still be met.
+ */
 export function timeToDeadlineS(job: Job, wallMs: number): number {
   return (job.schedulingDeadlineMs(wallMs) - wallMs) / 1000;
 }
 
 /**
- * Seconds until the attempt's task completes, by its job's estimate; once that has passed, a share of what it has run.
- * Infinity for services, for what has exited and for tasks of unknown jobs. `now` is in steady ms.
+ * Estimates the seconds until the attempt's task completes. The estimate follows from the expected run time of the
+ * job's tasks. It is never less than a share of the time that the task has already run. Infinity for services, for
+ * exited attempts and for tasks of unknown jobs.
+ *
+ * @param nowMs - steady time in milliseconds
  */
-export function remainingRunS({ job, state, startedMs }: Attempt, now: number): number {
+export function remainingRunS({ job, state, startedMs }: Attempt, nowMs: number): number {
   if (!job || job.isService || state === 'exited') return Infinity;
-  const ranS = (now - startedMs) / 1000;
-  return Math.max(job.progress.expectedRunTimeS - ranS, ranS * OVERRUN_SHARE);
+  const elapsedRunS = (nowMs - startedMs) / 1000;
+  return Math.max(job.progress.expectedRunTimeS - elapsedRunS, elapsedRunS * OVERRUN_TIME_SHARE);
 }
 
-/** Seconds until the node has pulled the job's image; 0 if it has it cached. */
-export function imagePullS(
+/** Estimates the seconds until the node has pulled the job's image. The result is 0 if the image is cached. */
+export function estimateImagePullS(
   node: Node,
   spec: JobSpec,
   instanceTypes: ReadonlyMap<string, ImagePullRate>,
--- a/test/pipeline/job.test.ts
+++ b/test/pipeline/job.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { COMPLETION_SEGMENT_TASKS, FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS } from '../../src/constants.js';
+import {
+  COMPLETION_SEGMENT_TASKS,
+  INITIAL_FAILURE_BACKOFF_MS,
+  MAX_FAILURE_BACKOFF_MS,
+} from '../../src/constants.js';
 import { Job } from '../../src/pipeline/job.js';
 import type { JobRecord, JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
@@ -71,7 +75,7 @@
   job.addAllocation(attempt, 'a');
   job.addAllocation({ index: 1 }, 'a');
   job.completeTask(2);
-  assert.deepEqual([job.findNextPendingTask(), job.pendingTasks, job.unfinishedTasks], [3, 1, 3]);
+  assert.deepEqual([job.findNextPendingTask(), job.pendingTasks, job.unfinishedTaskCount], [3, 1, 3]);
   job.removeAllocation({ index: 0 }, 'a');
   assert.deepEqual([...job.allocationsPerZone], [['a', 2]]);
   job.removeAllocation(attempt, 'a');
@@ -86,16 +90,16 @@
   const job = createJob();
   for (const doublings of [0, 1, 2]) {
     job.progress.recordFailure('vm-1', 100);
-    assert.equal(job.progress.startNotBeforeMs, 100 + FAILURE_BACKOFF_MS * 2 ** doublings);
+    assert.equal(job.progress.earliestStartMs, 100 + INITIAL_FAILURE_BACKOFF_MS * 2 ** doublings);
   }
   for (let i = 0; i < 20; i++) job.progress.recordFailure('vm-2', 100);
-  assert.equal(job.progress.startNotBeforeMs, 100 + FAILURE_BACKOFF_MAX_MS);
+  assert.equal(job.progress.earliestStartMs, 100 + MAX_FAILURE_BACKOFF_MS);
   job.completeTask(0);
   job.progress.recordFailure('vm-2', 200);
-  assert.equal(job.progress.startNotBeforeMs, 200 + FAILURE_BACKOFF_MS);
+  assert.equal(job.progress.earliestStartMs, 200 + INITIAL_FAILURE_BACKOFF_MS);
   assert.deepEqual([...job.progress.failedNodes], ['vm-1', 'vm-2']);
   job.progress.delayStarts(50);
-  assert.equal(job.progress.startNotBeforeMs, 200 + FAILURE_BACKOFF_MS);
+  assert.equal(job.progress.earliestStartMs, 200 + INITIAL_FAILURE_BACKOFF_MS);
 });
 
 test('a job starves from the first cycle that leaves it without an allocated task until one is allocated', () => {
--- a/test/scheduler/node-scoring.test.ts
+++ b/test/scheduler/node-scoring.test.ts
@@ -4,18 +4,18 @@
 import { scoreNodes } from '../../src/scheduler/node-scoring.js';
 import { jobSpec } from '../fixtures.js';
 
-test('a job that avoids spot nodes gets on-demand ones first, the others the other way round', () => {
+test('a job that avoids spot nodes gets on-demand nodes first, and any other job gets spot nodes first', () => {
   const clusterState = new ClusterState({
     exited: () => undefined,
     released: () => undefined,
   });
-  const nodeCapacity = (name: string, spot: boolean) => {
+  const createNodeCapacity = (name: string, spot: boolean) => {
     const capacity = { cpus: 4, accelerators: 0, memGb: 16 };
     const node = clusterState.addNode({ name, address: '', type: 'small', zone: 'a', spot, capacity }, 0);
     return { node, free: clusterState.freeResources(node) };
   };
-  const candidates = [nodeCapacity('spot', true), nodeCapacity('on demand', false)];
-  for (const [avoidsSpot, first] of [
+  const candidates = [createNodeCapacity('spot', true), createNodeCapacity('on demand', false)];
+  for (const [avoidsSpot, expectedFirstName] of [
     [true, 'on demand'],
     [false, 'spot'],
   ] as const) {
@@ -23,8 +23,8 @@
       spec: jobSpec({ spot: true }),
       allocationsPerZone: new Map<string, number>(),
       avoidsSpot,
-      avoidedNodes: new Set<string>(),
+      avoidedNodeNames: new Set<string>(),
     };
-    assert.equal(scoreNodes(request, candidates, () => 0)[0]!.node.name, first);
+    assert.equal(scoreNodes(request, candidates, () => 0)[0]!.node.name, expectedFirstName);
   }
 });
--- a/test/scheduler/queue-order.test.ts
+++ b/test/scheduler/queue-order.test.ts
@@ -14,7 +14,12 @@
   dueMs: number;
 }
 
-function waiting(name: string, acceptedMs: number, dueMs: number, fields: Partial<JobSpec> = {}): NamedJob {
+function createWaitingJob(
+  name: string,
+  acceptedMs: number,
+  dueMs: number,
+  fields: Partial<JobSpec> = {},
+): NamedJob {
   const spec = jobSpec({ cpus: 2, tasks: 2, ...fields });
   const earliestDeadlineMs = spec.deadlineS === null ? Infinity : acceptedMs + spec.deadlineS * 1000;
   return {
@@ -24,69 +29,75 @@
     queuedMs: acceptedMs,
     earliestDeadlineMs,
     dueMs,
-    unfinishedTasks: spec.tasks,
+    unfinishedTaskCount: spec.tasks,
   };
 }
 
-test('jobs are ordered by rank, guarantee, earliest deadline and age; neither team can starve the other', () => {
+test('jobs are ordered by rank, guarantee, earliest deadline and age, and no team can starve another', () => {
   const jobs = [
-    waiting('red 1', 1, 900),
-    waiting('red 2', 2, 800),
-    waiting('red 3 borrows', 3, 100),
-    waiting('red past its deadlines', 0, Infinity, { cpus: 0, deadlineS: 5 }),
-    waiting('blue late but guaranteed', 9, Infinity, { team: 'blue' }),
-    waiting('blue prod', 10, Infinity, { team: 'blue', rank: 'prod' }),
-    waiting('red idle', 0, 50, { rank: 'idle', tasks: 100 }),
+    createWaitingJob('red 1', 1, 900),
+    createWaitingJob('red 2', 2, 800),
+    createWaitingJob('red 3 beyond guarantee', 3, 100),
+    createWaitingJob('red past its deadlines', 0, Infinity, { cpus: 0, deadlineS: 5 }),
+    createWaitingJob('blue no deadline', 9, Infinity, { team: 'blue' }),
+    createWaitingJob('blue prod', 10, Infinity, { team: 'blue', rank: 'prod' }),
+    createWaitingJob('red idle', 0, 50, { rank: 'idle', tasks: 100 }),
   ];
   const quotas = new Map([RED, BLUE].map((quota) => [quota.name, quota]));
-  const notIdle = jobs.slice(0, 6);
-  const withinGuarantee = findJobsWithinGuarantee(notIdle, quotas);
+  const jobsExceptIdle = jobs.slice(0, 6);
+  const withinGuarantee = findJobsWithinGuarantee(jobsExceptIdle, quotas);
   assert.deepEqual([...withinGuarantee].map((job) => job.name).sort(), [
-    'blue late but guaranteed',
+    'blue no deadline',
     'blue prod',
     'red 1',
     'red 2',
     'red past its deadlines',
   ]);
-  const order = (some: NamedJob[], starving: string[] = []): string[] =>
-    [...some]
+  const sortNames = (jobsToSort: NamedJob[], starvingNames: string[] = []): string[] =>
+    [...jobsToSort]
       .sort(
         compareByRelease(
           withinGuarantee,
-          (job) => starving.includes(job.name),
+          (job) => starvingNames.includes(job.name),
           (job) => job.dueMs,
         ),
       )
       .map((job) => job.name);
-  assert.deepEqual(order(jobs), [
+  assert.deepEqual(sortNames(jobs), [
     'blue prod',
     'red 2',
     'red 1',
-    'blue late but guaranteed',
-    'red 3 borrows',
+    'blue no deadline',
+    'red 3 beyond guarantee',
     'red past its deadlines',
     'red idle',
   ]);
-  // One that starves goes with the guaranteed ones.
-  assert.deepEqual(order(jobs.slice(0, 4), ['red past its deadlines'])[2], 'red past its deadlines');
-  assert.deepEqual(order(jobs.slice(0, 4), ['red past its deadlines'])[3], 'red 3 borrows');
+  // A starving job is ordered among the jobs within their team's guarantee.
+  assert.deepEqual(sortNames(jobs.slice(0, 4), ['red past its deadlines'])[2], 'red past its deadlines');
+  assert.deepEqual(sortNames(jobs.slice(0, 4), ['red past its deadlines'])[3], 'red 3 beyond guarantee');
 });
 
-test('a job past its deadline, and one without, get their turn before a stream of newer jobs', () => {
-  const late = waiting('late', 0, Infinity, { deadlineS: 60 });
-  const undated = waiting('undated', 0, Infinity);
-  // A newer job every 10 s, each due 60 s after it came.
-  const stream = Array.from({ length: 30 }, (_, i) =>
-    waiting(`${i}`, i * 10_000, i * 10_000 + 60_000, { deadlineS: 60 }),
+test('a stream of newer jobs cannot delay a job past its deadline or without one forever', () => {
+  const lateJob = createWaitingJob('late', 0, Infinity, { deadlineS: 60 });
+  const jobWithoutDeadline = createWaitingJob('no deadline', 0, Infinity);
+  // A newer job arrives every 10 s, and is due 60 s after its arrival.
+  const newerJobs = Array.from({ length: 30 }, (_, i) =>
+    createWaitingJob(`${i}`, i * 10_000, i * 10_000 + 60_000, { deadlineS: 60 }),
   );
-  const order = [late, undated, ...stream].sort(
+  const sortedJobs = [lateJob, jobWithoutDeadline, ...newerJobs].sort(
     compareByRelease(
       new Set<NamedJob>(),
       () => false,
       (job) => job.dueMs,
     ),
   );
-  const position = (job: NamedJob): number => order.indexOf(job);
-  assert.ok(position(late) > 5 && position(late) < 12, `late after ${position(late)}`);
-  assert.ok(position(undated) > 5 && position(undated) < 15, `undated after ${position(undated)}`);
+  const getPosition = (job: NamedJob): number => sortedJobs.indexOf(job);
+  assert.ok(
+    getPosition(lateJob) > 5 && getPosition(lateJob) < 12,
+    `late job at position ${getPosition(lateJob)}`,
+  );
+  assert.ok(
+    getPosition(jobWithoutDeadline) > 5 && getPosition(jobWithoutDeadline) < 15,
+    `job without a deadline at position ${getPosition(jobWithoutDeadline)}`,
+  );
 });
--- a/test/scheduler/scheduler.test.ts
+++ b/test/scheduler/scheduler.test.ts
@@ -1,20 +1,20 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ATTEMPTS_PER_TERM, ATTEMPTS_RESERVED } from '../../src/constants.js';
+import { ATTEMPT_NUMBERS_PER_TERM, RESERVED_ATTEMPT_NUMBERS } from '../../src/constants.js';
 import { AttemptNumbers } from '../../src/scheduler/attempt-numbers.js';
 import { Scheduler, type SchedulerDependencies } from '../../src/scheduler/scheduler.js';
 
-// Attempt numbers carry the term in their high part: beyond their end they would be those of the next term.
-test('a term ends before its attempt numbers do', () => {
-  const cases: [attempts: number, needsNewTerm: boolean][] = [
+// The high bits of an attempt number hold the term, so a number beyond the term's range would belong to the next term.
+test('a new term is needed before the attempt numbers of the current term run out', () => {
+  const cases: [issuedCount: number, needsNewTerm: boolean][] = [
     [0, false],
-    [ATTEMPTS_PER_TERM - ATTEMPTS_RESERVED - 1, false],
-    [ATTEMPTS_PER_TERM - ATTEMPTS_RESERVED, true],
+    [ATTEMPT_NUMBERS_PER_TERM - RESERVED_ATTEMPT_NUMBERS - 1, false],
+    [ATTEMPT_NUMBERS_PER_TERM - RESERVED_ATTEMPT_NUMBERS, true],
   ];
-  for (const [attempts, needsNewTerm] of cases) {
+  for (const [issuedCount, needsNewTerm] of cases) {
     const scheduler = new Scheduler({
-      attemptNumbers: new AttemptNumbers(1, attempts),
+      attemptNumbers: new AttemptNumbers(1, issuedCount),
     } as SchedulerDependencies);
-    assert.equal(scheduler.needsNewTerm, needsNewTerm, `${attempts} attempts`);
+    assert.equal(scheduler.needsNewTerm, needsNewTerm, `${issuedCount} attempt numbers issued`);
   }
 });
--- a/test/scheduler/unschedulable-requests.test.ts
+++ b/test/scheduler/unschedulable-requests.test.ts
@@ -4,19 +4,19 @@
 import type { JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
 
-// Of hundreds of jobs that are alike, nodes are searched for the first only.
-test('an unschedulable request covers all that need as much under the same constraints', () => {
-  const unschedulable = new UnschedulableRequests();
-  unschedulable.record(jobSpec({ cpus: 2, memGb: 8, spot: true }));
-  const cases: [name: string, fields: Partial<JobSpec>, covered: boolean][] = [
-    ['the same', { cpus: 2, memGb: 8, spot: true }, true],
-    ['larger', { cpus: 4, memGb: 8, spot: true }, true],
+// Among hundreds of similar waiting jobs, only the first one may cause a search through the nodes.
+test('an unschedulable request covers all requests that need at least as much under the same constraints', () => {
+  const unschedulableRequests = new UnschedulableRequests();
+  unschedulableRequests.record(jobSpec({ cpus: 2, memGb: 8, spot: true }));
+  const cases: [name: string, fields: Partial<JobSpec>, isCovered: boolean][] = [
+    ['the same request', { cpus: 2, memGb: 8, spot: true }, true],
+    ['more CPUs', { cpus: 4, memGb: 8, spot: true }, true],
     ['less memory', { cpus: 2, memGb: 4, spot: true }, false],
     ['fewer CPUs', { cpus: 1, memGb: 8, spot: true }, false],
     ['no spot nodes', { cpus: 2, memGb: 8, spot: false }, false],
-    ['one zone', { cpus: 2, memGb: 8, spot: true, zone: 'a' }, false],
-    ['one type', { cpus: 2, memGb: 8, spot: true, instanceTypes: ['small'] }, false],
+    ['limited to one zone', { cpus: 2, memGb: 8, spot: true, zone: 'a' }, false],
+    ['limited to one instance type', { cpus: 2, memGb: 8, spot: true, instanceTypes: ['small'] }, false],
   ];
-  for (const [name, fields, covered] of cases)
-    assert.equal(unschedulable.covers(jobSpec(fields)), covered, name);
+  for (const [name, fields, isCovered] of cases)
+    assert.equal(unschedulableRequests.covers(jobSpec(fields)), isCovered, name);
 });
--- a/test/support/scheduling-fixtures.ts
+++ b/test/support/scheduling-fixtures.ts
@@ -2,7 +2,7 @@
 import type { InstanceType } from '../../src/autoscaler/cloud-codec.js';
 import type { TeamQuota } from '../../src/scheduler/team-quota.js';
 
-/** A small instance type that boots soon. */
+/** A small instance type with a short boot time. */
 export const SMALL: InstanceType = {
   name: 'small',
   cpus: 4,
@@ -15,7 +15,7 @@
   bootS: 15,
   zones: ['a', 'b'],
 };
-/** A large instance type, cheaper per processor, that takes longer to boot. */
+/** A large instance type that is cheaper per processor core and takes longer to boot. */
 export const LARGE: InstanceType = {
   ...SMALL,
   name: 'large',
@@ -25,7 +25,7 @@
   spotPrice: 0.3,
   bootS: 60,
 };
-/** The quota of team red. */
+/** The quota of team `red`. */
 export const RED: TeamQuota = {
   name: 'red',
   guaranteedCpus: 8,
@@ -33,5 +33,5 @@
   guaranteedAccelerators: 0,
   acceleratorLimit: 0,
 };
-/** The same quota, for team blue. */
+/** The quota of team `blue`, which equals that of team `red` except for the name. */
 export const BLUE: TeamQuota = { ...RED, name: 'blue' };
