--- a/src/constants/cloud.ts
+++ b/src/constants/cloud.ts
@@ -9,7 +9,7 @@
  */
 export const DELEGATED_CLOUD_SHARES = { leader: 0.3, rent: 0.45, return: 0.125, reclaim: 0.125 };
 /**
- * If roles are delegated, the leader uses this share of its own rate to read the instance list; the catalog uses the
+ * If roles are delegated, the leader uses this share of its own rate to read the instance list. The catalog uses the
  * rest.
  */
 export const DELEGATED_LIST_SHARE = 0.8;
--- a/src/constants/http.ts
+++ b/src/constants/http.ts
@@ -3,8 +3,8 @@
 /** Maximum size of a request body, in bytes, as defined by the protocol. */
 export const MAX_BODY_BYTES = 64 * 1024;
 /**
- * Maximum size of the request line and headers together, in bytes. Legitimate requests have a few hundred bytes; more
- * is rejected as a flood.
+ * Maximum size of the request line and headers together, in bytes. Legitimate requests have a few hundred bytes. Larger
+ * ones are rejected as a flood.
  */
 export const MAX_HEAD_BYTES = 8 * 1024;
 /** Maximum number of header lines in one message. A message with more is rejected as a flood. */
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -48,7 +48,7 @@
  * The start time takes precedence over bin packing.
  */
 export const IMAGE_PULL_SCORE_PENALTY_PER_S = 10;
-/** A production service preempts lower ranks after waiting this many milliseconds, because its users wait for it. */
+/** A job of rank `prod` preempts lower ranks after waiting this many milliseconds, because its users wait for it. */
 export const PROD_PREEMPTION_WAIT_MS = 0;
 /**
  * Any other job waits this many milliseconds before it preempts lower ranks, or tasks that keep its team from using its
--- a/src/pipeline/job-options.ts
+++ b/src/pipeline/job-options.ts
@@ -6,7 +6,7 @@
 
 /** The data from which a leader constructs a job that it has read from the state store. */
 export interface JobOptions {
-  /** Identifies the job; part of its key in the state store. */
+  /** Identifies the job. It is part of the job's key in the state store. */
   readonly uid: string;
   /** The stored value of the job. */
   readonly record: JobRecord;
--- a/src/pipeline/job-progress.ts
+++ b/src/pipeline/job-progress.ts
@@ -12,7 +12,7 @@
 
 /** The run times and failures of one job's tasks in the current term. */
 export class JobProgress {
-  private readonly nodesWithFailedTask = new Set<string>();
+  private readonly nodeNamesWithFailedTask = new Set<string>();
   private consecutiveFailures = 0;
   private noStartBeforeMs = 0;
   private totalRunS = 0;
@@ -26,7 +26,7 @@
 
   /** Names of the nodes on which a task of the job failed. */
   get failedNodes(): ReadonlySet<string> {
-    return this.nodesWithFailedTask;
+    return this.nodeNamesWithFailedTask;
   }
 
   /** Steady time, in milliseconds, before which no task of the job is started. */
@@ -55,7 +55,7 @@
 
   /** Records that a task failed on a node. The job backs off, for longer with each consecutive failure. */
   recordFailure(nodeName: string, nowMs: number): void {
-    this.nodesWithFailedTask.add(nodeName);
+    this.nodeNamesWithFailedTask.add(nodeName);
     const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, this.consecutiveFailures++);
     this.noStartBeforeMs =
       nowMs + Math.min(MAX_FAILURE_BACKOFF_MS, INITIAL_FAILURE_BACKOFF_MS * 2 ** doublings);
--- a/src/scheduler/node-scoring.ts
+++ b/src/scheduler/node-scoring.ts
@@ -46,10 +46,10 @@
 }
 
 /**
- * Computes the score of a node; lower is better. Nodes on which a task of the job failed come last. If the job may use
- * spot nodes, they come first, so that on-demand capacity stays free for other jobs. If an interruption would make the
- * job late, on-demand nodes come first instead. Next come the nodes on which the task starts soonest, and then the
- * fullest nodes, so that other nodes become idle and are terminated.
+ * Computes the score of a node. A lower score is better. Nodes on which a task of the job failed come last. If the job
+ * may use spot nodes, they come first, so that on-demand capacity stays free for other jobs. If an interruption would
+ * make the job late, on-demand nodes come first instead. Next come the nodes on which the task starts soonest, and then
+ * the fullest nodes, so that other nodes become idle and are terminated.
  */
 function scoreNode(
   { spec, avoidsSpot, avoidedNodeNames }: PlacementRequest,
