--- a/src/constants.ts
+++ b/src/constants.ts
@@ -1,11 +1,11 @@
 /**
- * Every constant of the service, with unit and reason, by concern. Limits of a deployment (rates, leases, sizes) are not
- * here: they come from the settings.
+ * Re-exports all constants of the service, which are grouped into one module per subject. The limits of a deployment
+ * (rates, leases, sizes) are not constants: they come from the settings.
  */
 export * from './constants/http.js';
 export * from './constants/users.js';
 export * from './constants/state-store.js';
-export * from './constants/least-settings.js';
+export * from './constants/minimum-settings.js';
 export * from './constants/election-and-peers.js';
 export * from './constants/workers.js';
 export * from './constants/task-retries.js';
