--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,3 +1,4 @@
+/** HTTP client with pooled connections over TCP sockets. */
 import { Socket } from 'node:net';
 import type { Clock } from '@pumicehinge/runtime';
 import { MAX_ANSWER_BYTES, POOL_IDLE_MS, POOL_QUEUE, POOL_SIZE } from '../constants.js';
@@ -11,35 +12,39 @@
 import { HttpParser, HttpSyntaxError } from './parser.js';
 import { splitAddress } from './server.js';
 
-interface Call {
-  text: string;
+/** A call that waits for a connection or for its response. */
+interface PendingCall {
+  requestText: string;
   resolve: (response: HttpResponse) => void;
   reject: (error: CallError) => void;
-  sent: boolean;
-  settled: boolean;
+  /** Whether the request was written to a socket. */
+  isSent: boolean;
+  /** Whether the call was resolved or rejected. */
+  isSettled: boolean;
   cancelTimer: () => void;
 }
 
-const failureOf = (call: Call): CallFailure => (call.sent ? 'unclear' : 'unsent');
+const determineFailure = (call: PendingCall): CallFailure => (call.isSent ? 'unclear' : 'unsent');
 
-/** One kept-alive connection; carries one call at a time. */
+/** A kept-alive connection that carries one call at a time. */
 class ClientConnection {
   private readonly parser: HttpParser;
   private readonly socket = new Socket();
-  private call: Call | undefined;
-  private connected = false;
+  private call: PendingCall | undefined;
+  private isConnected = false;
   idleSinceMs = 0;
 
   constructor(
     address: string,
-    answerBytes: number,
-    private readonly onFree: (connection: ClientConnection, alive: boolean) => void,
+    maxResponseBytes: number,
+    /** Called when a call has ended and when the connection is closed. */
+    private readonly onReleased: (connection: ClientConnection, isReusable: boolean) => void,
   ) {
-    this.parser = new HttpParser('response', answerBytes);
+    this.parser = new HttpParser('response', maxResponseBytes);
     const { host, port } = splitAddress(address);
     this.socket.setNoDelay(true);
     this.socket.on('connect', () => {
-      this.connected = true;
+      this.isConnected = true;
       if (this.call) this.write(this.call);
     });
     this.socket.on('data', (data: Buffer) => this.onData(data));
@@ -48,24 +53,27 @@
     this.socket.connect({ host, port });
   }
 
-  run(call: Call): void {
+  send(call: PendingCall): void {
     this.call = call;
-    if (this.connected) this.write(call);
+    if (this.isConnected) this.write(call);
   }
 
   close(): void {
     this.socket.destroy();
   }
 
-  /** Makes room for another: its pool forgets it at once, not only when the socket tells of its end. */
+  /**
+   * Closes the connection to make room for another one. Its pool removes it at once instead of waiting for the socket's `close`
+   * event.
+   */
   evict(): void {
-    this.onFree(this, false);
+    this.onReleased(this, false);
     this.socket.destroy();
   }
 
-  private write(call: Call): void {
-    call.sent = true;
-    this.socket.write(call.text);
+  private write(call: PendingCall): void {
+    call.isSent = true;
+    this.socket.write(call.requestText);
   }
 
   private onData(data: Buffer): void {
@@ -82,156 +90,173 @@
     const call = this.call;
     this.call = undefined;
     if (!call || messages.length > 1) {
-      this.fail('unasked answer');
+      this.fail('received more responses than requests');
       return;
     }
     call.resolve({ status: Number(message.startLine.slice(9, 12)), body: message.body.toString('utf8') });
     if (!message.keepAlive) this.socket.destroy();
-    this.onFree(this, message.keepAlive);
+    this.onReleased(this, message.keepAlive);
   }
 
   private fail(reason: string, isTooLarge = false): void {
     const call = this.call;
     this.call = undefined;
     this.socket.destroy();
-    call?.reject(isTooLarge ? new AnswerTooLargeError(reason) : new CallError(failureOf(call), reason));
-    this.onFree(this, false);
+    call?.reject(
+      isTooLarge ? new AnswerTooLargeError(reason) : new CallError(determineFailure(call), reason),
+    );
+    this.onReleased(this, false);
   }
 }
 
-/** The connections of all pools together, of which there are at most `most`. */
-class Sockets {
-  /** Longest idle first. */
-  private readonly idle = new Set<ClientConnection>();
-  private open = 0;
+/** Limits the number of open connections in all pools together to `maxOpen`. */
+class ConnectionBudget {
+  /** Ordered by idle time, longest first. */
+  private readonly idleConnections = new Set<ClientConnection>();
+  private openCount = 0;
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxOpen: number) {}
 
-  /** Whether one more may be opened; the one that is idle longest goes for it. */
-  take(): boolean {
-    if (this.open >= this.most) {
-      const [oldest] = this.idle;
+  /**
+   * Reserves a place for one more connection. At the limit, the connection that has been idle longest is closed for it.
+   * Returns false if all connections are in use.
+   */
+  tryReserve(): boolean {
+    if (this.openCount >= this.maxOpen) {
+      const [oldest] = this.idleConnections;
       if (!oldest) return false;
       oldest.evict();
     }
-    this.open++;
+    this.openCount++;
     return true;
   }
 
-  idled(connection: ClientConnection): void {
-    this.idle.add(connection);
+  markIdle(connection: ClientConnection): void {
+    this.idleConnections.add(connection);
   }
 
-  used(connection: ClientConnection): void {
-    this.idle.delete(connection);
+  markInUse(connection: ClientConnection): void {
+    this.idleConnections.delete(connection);
   }
 
-  gone(connection: ClientConnection): void {
-    this.idle.delete(connection);
-    this.open--;
+  release(connection: ClientConnection): void {
+    this.idleConnections.delete(connection);
+    this.openCount--;
   }
 }
 
-class Pool {
-  private readonly idle: ClientConnection[] = [];
-  private readonly all = new Set<ClientConnection>();
-  private readonly waiting: Call[] = [];
+/** The connections to one address and the calls that wait for one of them. */
+class ConnectionPool {
+  private readonly idleConnections: ClientConnection[] = [];
+  private readonly connections = new Set<ClientConnection>();
+  private readonly queuedCalls: PendingCall[] = [];
 
   constructor(
     private readonly address: string,
     private readonly clock: Clock,
-    private readonly size: number,
-    private readonly sockets: Sockets,
-    private readonly answerBytes: number,
+    private readonly maxConnections: number,
+    private readonly budget: ConnectionBudget,
+    private readonly maxResponseBytes: number,
   ) {}
 
-  submit(call: Call): void {
-    if (this.waiting.length >= POOL_QUEUE) {
-      call.reject(new CallError('unsent', 'too many calls waiting'));
+  submit(call: PendingCall): void {
+    if (this.queuedCalls.length >= POOL_QUEUE) {
+      call.reject(new CallError('unsent', 'too many queued calls'));
       return;
     }
-    this.waiting.push(call);
+    this.queuedCalls.push(call);
     this.dispatch();
   }
 
-  get unused(): boolean {
-    return this.all.size === 0 && this.waiting.length === 0;
+  get isUnused(): boolean {
+    return this.connections.size === 0 && this.queuedCalls.length === 0;
   }
 
   close(): void {
-    for (const connection of this.all) connection.close();
+    for (const connection of this.connections) connection.close();
   }
 
-  sweep(now: number): void {
-    // Taken out of the list here: a socket tells of its end only later, and this loop must not wait for it.
-    while (this.idle.length > 0 && now - this.idle[0]!.idleSinceMs > POOL_IDLE_MS) this.idle.shift()!.close();
+  closeIdleConnections(nowMs: number): void {
+    // The connection is removed from the list here because the `close` event of its socket comes only after this loop.
+    while (this.idleConnections.length > 0 && nowMs - this.idleConnections[0]!.idleSinceMs > POOL_IDLE_MS)
+      this.idleConnections.shift()!.close();
   }
 
   private dispatch(): void {
-    while (this.waiting.length > 0) {
-      if (this.waiting[0]!.settled) {
-        this.waiting.shift();
+    while (this.queuedCalls.length > 0) {
+      if (this.queuedCalls[0]!.isSettled) {
+        this.queuedCalls.shift();
         continue;
       }
-      const connection = this.idle.pop() ?? this.open();
+      const connection = this.idleConnections.pop() ?? this.openConnection();
       if (!connection) {
-        // Nobody would tell of a free socket: the caller is told now.
-        if (this.all.size === 0) this.refuseAll();
+        // Without a connection in this pool, no event would dispatch these calls later, so they are rejected now.
+        if (this.connections.size === 0) this.rejectQueuedCalls();
         return;
       }
-      this.sockets.used(connection);
-      const call = this.waiting.shift()!;
-      const settle = call.reject;
-      // A call that timed out leaves its connection in an unknown state; it is closed with it.
+      this.budget.markInUse(connection);
+      const call = this.queuedCalls.shift()!;
+      const rejectCall = call.reject;
+      // A call that timed out leaves its connection in an unknown state, so the connection is closed too.
       call.reject = (error) => {
-        settle(error);
+        rejectCall(error);
         connection.close();
       };
-      connection.run(call);
+      connection.send(call);
     }
   }
 
-  private refuseAll(): void {
-    for (const call of this.waiting.splice(0)) call.reject(new CallError('unsent', 'no socket free'));
+  private rejectQueuedCalls(): void {
+    for (const call of this.queuedCalls.splice(0))
+      call.reject(new CallError('unsent', 'connection limit reached'));
   }
 
-  private open(): ClientConnection | undefined {
-    if (this.all.size >= this.size || !this.sockets.take()) return undefined;
-    const connection = new ClientConnection(this.address, this.answerBytes, (freed, alive) => {
-      if (alive) {
-        freed.idleSinceMs = this.clock.steadyMs();
-        this.idle.push(freed);
-        this.sockets.idled(freed);
-      } else {
-        if (this.all.delete(freed)) this.sockets.gone(freed);
-        const at = this.idle.indexOf(freed);
-        if (at >= 0) this.idle.splice(at, 1);
-      }
-      this.dispatch();
-    });
-    this.all.add(connection);
+  private openConnection(): ClientConnection | undefined {
+    if (this.connections.size >= this.maxConnections || !this.budget.tryReserve()) return undefined;
+    const connection = new ClientConnection(
+      this.address,
+      this.maxResponseBytes,
+      (releasedConnection, isReusable) => {
+        if (isReusable) {
+          releasedConnection.idleSinceMs = this.clock.steadyMs();
+          this.idleConnections.push(releasedConnection);
+          this.budget.markIdle(releasedConnection);
+        } else {
+          if (this.connections.delete(releasedConnection)) this.budget.release(releasedConnection);
+          const index = this.idleConnections.indexOf(releasedConnection);
+          if (index >= 0) this.idleConnections.splice(index, 1);
+        }
+        this.dispatch();
+      },
+    );
+    this.connections.add(connection);
     return connection;
   }
 }
 
-/** HTTP client with a bounded pool of connections per address and a time limit per call. */
+/** HTTP client with a bounded pool of connections per address and a timeout per call. */
 export class SocketCaller implements HttpCaller {
-  private readonly pools = new Map<string, Pool>();
-  private cancelSweep = (): void => undefined;
-  private readonly sockets: Sockets;
+  private readonly pools = new Map<string, ConnectionPool>();
+  private cancelIdleSweep = (): void => undefined;
+  private readonly budget: ConnectionBudget;
 
   constructor(
     private readonly clock: Clock,
-    private readonly poolSize: number = POOL_SIZE,
-    /** Connections to all addresses together. */
-    most = Infinity,
-    /** Bytes of one answer's body. */
-    private readonly answerBytes: number = MAX_ANSWER_BYTES,
+    /** Limit of the open connections to one address. */
+    private readonly maxConnectionsPerAddress: number = POOL_SIZE,
+    /** Limit of the open connections to all addresses together. */
+    maxConnections = Infinity,
+    /** Size limit of one response body, in bytes. */
+    private readonly maxResponseBytes: number = MAX_ANSWER_BYTES,
   ) {
-    this.sockets = new Sockets(most);
-    this.sweepLater();
+    this.budget = new ConnectionBudget(maxConnections);
+    this.scheduleIdleSweep();
   }
 
+  /**
+   * Sends a request and resolves with its response. Rejects with a `CallError` if the connection fails, if the timeout expires
+   * or if too many calls wait for a connection.
+   */
   call(
     address: string,
     method: string,
@@ -241,55 +266,62 @@
   ): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       const head = `${method} ${target} HTTP/1.1\r\nHost: ${address}\r\n`;
-      const text =
+      const requestText =
         body === undefined
           ? `${head}\r\n`
           : `${head}Content-Type: application/json\r\nContent-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`;
-      const call: Call = {
-        text,
-        sent: false,
-        settled: false,
+      const call: PendingCall = {
+        requestText,
+        isSent: false,
+        isSettled: false,
         cancelTimer: () => undefined,
         resolve: (response) => {
-          if (call.settled) return;
-          call.settled = true;
+          if (call.isSettled) return;
+          call.isSettled = true;
           call.cancelTimer();
           resolve(response);
         },
         reject: (error) => {
-          if (call.settled) return;
-          call.settled = true;
+          if (call.isSettled) return;
+          call.isSettled = true;
           call.cancelTimer();
           reject(error);
         },
       };
       call.cancelTimer = this.clock.after(timeoutMs, () =>
-        call.reject(new CallError(failureOf(call), 'timed out')),
+        call.reject(new CallError(determineFailure(call), 'timed out')),
       );
       let pool = this.pools.get(address);
       if (!pool)
         this.pools.set(
           address,
-          (pool = new Pool(address, this.clock, this.poolSize, this.sockets, this.answerBytes)),
+          (pool = new ConnectionPool(
+            address,
+            this.clock,
+            this.maxConnectionsPerAddress,
+            this.budget,
+            this.maxResponseBytes,
+          )),
         );
       pool.submit(call);
     });
   }
 
-  /** Drops every connection; calls still waiting fail. */
+  /** Closes every connection. Calls that wait for a response fail. */
   close(): void {
-    this.cancelSweep();
+    this.cancelIdleSweep();
     for (const pool of this.pools.values()) pool.close();
   }
 
-  private sweepLater(): void {
-    this.cancelSweep = this.clock.after(POOL_IDLE_MS / 2, () => {
-      const now = this.clock.steadyMs();
+  /** Closes idle connections and removes unused pools at regular intervals. */
+  private scheduleIdleSweep(): void {
+    this.cancelIdleSweep = this.clock.after(POOL_IDLE_MS / 2, () => {
+      const nowMs = this.clock.steadyMs();
       for (const [address, pool] of this.pools) {
-        pool.sweep(now);
-        if (pool.unused) this.pools.delete(address);
+        pool.closeIdleConnections(nowMs);
+        if (pool.isUnused) this.pools.delete(address);
       }
-      this.sweepLater();
+      this.scheduleIdleSweep();
     });
   }
 }
--- a/src/http/message.ts
+++ b/src/http/message.ts
@@ -1,26 +1,37 @@
-/** What the HTTP layer hands to the rest, on either side. */
+/** Messages, errors and interfaces of the HTTP layer, for the server and the client side. */
+
+/** A request as the server passes it to its handler. */
 export interface HttpRequest {
   method: string;
-  /** Path without the query. */
+  /** The request target without its query. */
   path: string;
+  /** The part of the request target after the question mark. Empty if there is none. */
   query: string;
   body: string;
 }
 
+/** A response that a handler returns or that a client receives. */
 export interface HttpResponse {
   status: number;
   body: string;
+  /** Value of the `Retry-After` header in seconds. */
   retryAfterS?: number;
-  /** Whether the connection ends with this answer. */
+  /** Whether the server closes the connection after this response. */
   close?: boolean;
 }
 
+/** Sends the response to one request. */
 export type Respond = (response: HttpResponse) => void;
-export type Handler = (request: HttpRequest, respond: Respond) => void;
+/** Handles one request and calls `respond` when its response is known. */
+export type RequestHandler = (request: HttpRequest, respond: Respond) => void;
 
-/** `unsent`: surely never executed. `unclear`: may have been executed, or may be later. */
+/**
+ * What is known about a request whose call failed. An `unsent` request was never executed. An `unclear` request may have been
+ * executed, or may still be executed later.
+ */
 export type CallFailure = 'unsent' | 'unclear';
 
+/** A call that ended without a response. */
 export class CallError extends Error {
   constructor(
     readonly failure: CallFailure,
@@ -30,15 +41,16 @@
   }
 }
 
-/** The answer was larger than we take; the request was executed. */
+/** The response exceeded the size limit of the client. The request was executed. */
 export class AnswerTooLargeError extends CallError {
   constructor(reason: string) {
     super('unclear', reason);
   }
 }
 
-/** Calls other hosts; the real one uses sockets, tests use a simulated network. */
+/** An HTTP client. The real one uses sockets, and tests use one with a simulated network. */
 export interface HttpCaller {
+  /** Sends a request and resolves with its response. Rejects with a `CallError` if none arrives within `timeoutMs`. */
   call(
     address: string,
     method: string,
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,14 +1,17 @@
+/** Parses HTTP/1.1 messages from the bytes of a connection. */
 import { CHECKED_HEADER_BYTES, CHECKED_HEADER_LINES, MAX_HEAD_BYTES, MAX_HEADERS } from '../constants.js';
 
-/** A message as it stood on the wire: start line, headers in lower case, body. */
+/** A message that is split into start line, headers and body. The start line and the body are not interpreted. */
 export interface RawMessage {
   startLine: string;
+  /** Values by header name. The names are in lower case. */
   headers: Map<string, string>;
   body: Buffer;
   /** Whether the connection stays open after this message. */
   keepAlive: boolean;
 }
 
+/** A message that is malformed or too large. `status` is the status code of the response to such a request. */
 export class HttpSyntaxError extends Error {
   constructor(
     readonly status: number,
@@ -18,119 +21,126 @@
   }
 }
 
+/** Pattern of a header name. */
 const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
-const EMPTY = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
-/** A header line as it was checked: name in lower case, value. */
+/** A validated header line. Its name is in lower case. */
 type Header = readonly [name: string, value: string];
 
-/** Header lines that passed their check: each client sends the same few with every request. */
-const checkedLines = new Map<string, Header>();
+/** Cache of validated header lines, because each client sends the same few lines with every request. */
+const parsedHeaderLines = new Map<string, Header>();
 
-/** Throws HttpSyntaxError for what is no header line. */
-function checkHeaderLine(line: string): Header {
+/** Parses and validates a header line. Throws an `HttpSyntaxError` if the line is invalid. */
+function parseHeaderLine(line: string): Header {
   const colon = line.indexOf(':');
-  if (colon <= 0) throw new HttpSyntaxError(400, 'bad header');
+  if (colon <= 0) throw new HttpSyntaxError(400, 'header line has no name or no colon');
   const name = line.slice(0, colon);
   const value = line.slice(colon + 1).trim();
   if (!TOKEN.test(name) || /[\x00-\x08\x0a-\x1f\x7f]/.test(value))
-    throw new HttpSyntaxError(400, 'bad header');
+    throw new HttpSyntaxError(400, 'invalid character in a header line');
   const header: Header = [name.toLowerCase(), value];
-  if (checkedLines.size < CHECKED_HEADER_LINES && line.length <= CHECKED_HEADER_BYTES)
-    checkedLines.set(line, header);
+  if (parsedHeaderLines.size < CHECKED_HEADER_LINES && line.length <= CHECKED_HEADER_BYTES)
+    parsedHeaderLines.set(line, header);
   return header;
 }
 
-type Stage = 'head' | 'length' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer';
+/** The part of a message that the parser expects next. */
+type Stage = 'head' | 'fixedLengthBody' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer';
 
 /**
- * Incremental and strict HTTP/1.1 parser for requests and responses. Memory is bounded by the head limit
- * plus the body limit; anything ambiguous about where a message ends is refused, not guessed.
+ * Incremental and strict HTTP/1.1 parser for requests and responses. Its memory is bounded by the limits of the head and the
+ * body. A message whose end is ambiguous is rejected.
  */
 export class HttpParser {
-  private buffer: Buffer = EMPTY;
+  private buffer: Buffer = EMPTY_BUFFER;
   private stage: Stage = 'head';
   private message: RawMessage | undefined;
-  private needed = 0;
+  /** Size of the fixed-length body or of the current chunk, in bytes. */
+  private expectedBytes = 0;
   private chunks: Buffer[] = [];
   private bodyBytes = 0;
   private trailerBytes = 0;
 
   constructor(
     private readonly kind: 'request' | 'response',
-    private readonly maxBody: number,
+    private readonly maxBodyBytes: number,
   ) {}
 
-  /** True when nothing of a next message has been read. */
-  get idle(): boolean {
+  /** Whether no byte of the next message has been read. */
+  get isIdle(): boolean {
     return this.stage === 'head' && this.buffer.length === 0;
   }
 
-  /** Takes bytes, returns the messages completed by them. Throws HttpSyntaxError. */
+  /** Parses more bytes and returns the messages that they complete. Throws an `HttpSyntaxError` for invalid input. */
   feed(data: Buffer): RawMessage[] {
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     const complete: RawMessage[] = [];
     for (;;) {
-      const message = this.step();
-      if (message === 'more') return complete;
+      const message = this.parseNext();
+      if (message === 'incomplete') return complete;
       if (message) complete.push(message);
     }
   }
 
-  private step(): RawMessage | 'more' | undefined {
+  /** Parses the next part of a message. Returns the message if that part completes it. */
+  private parseNext(): RawMessage | 'incomplete' | undefined {
     switch (this.stage) {
       case 'head':
         return this.readHead();
-      case 'length':
-        if (this.buffer.length < this.needed) return 'more';
-        return this.finish(this.take(this.needed));
+      case 'fixedLengthBody':
+        if (this.buffer.length < this.expectedBytes) return 'incomplete';
+        return this.finishMessage(this.consume(this.expectedBytes));
       case 'chunkSize': {
-        const line = this.takeLine(64);
-        if (line === undefined) return 'more';
-        if (!/^[0-9a-fA-F]{1,8}$/.test(line)) throw new HttpSyntaxError(400, 'bad chunk size');
-        this.needed = parseInt(line, 16);
-        this.bodyBytes += this.needed;
-        if (this.bodyBytes > this.maxBody) throw new HttpSyntaxError(413, 'body too large');
-        this.stage = this.needed === 0 ? 'trailer' : 'chunkData';
+        const line = this.consumeLine(64);
+        if (line === undefined) return 'incomplete';
+        if (!/^[0-9a-fA-F]{1,8}$/.test(line)) throw new HttpSyntaxError(400, 'invalid chunk size');
+        this.expectedBytes = parseInt(line, 16);
+        this.bodyBytes += this.expectedBytes;
+        if (this.bodyBytes > this.maxBodyBytes) throw new HttpSyntaxError(413, 'body exceeds the size limit');
+        this.stage = this.expectedBytes === 0 ? 'trailer' : 'chunkData';
         return undefined;
       }
       case 'chunkData':
-        if (this.buffer.length < this.needed) return 'more';
-        this.chunks.push(this.take(this.needed));
+        if (this.buffer.length < this.expectedBytes) return 'incomplete';
+        this.chunks.push(this.consume(this.expectedBytes));
         this.stage = 'chunkEnd';
         return undefined;
       case 'chunkEnd':
-        if (this.buffer.length < 2) return 'more';
-        if (this.take(2).toString('latin1') !== '\r\n') throw new HttpSyntaxError(400, 'bad chunk end');
+        if (this.buffer.length < 2) return 'incomplete';
+        if (this.consume(2).toString('latin1') !== '\r\n')
+          throw new HttpSyntaxError(400, 'chunk data is not followed by CRLF');
         this.stage = 'chunkSize';
         return undefined;
       case 'trailer': {
-        const line = this.takeLine(MAX_HEAD_BYTES);
-        if (line === undefined) return 'more';
+        const line = this.consumeLine(MAX_HEAD_BYTES);
+        if (line === undefined) return 'incomplete';
         this.trailerBytes += line.length;
-        if (this.trailerBytes > MAX_HEAD_BYTES) throw new HttpSyntaxError(431, 'trailer too large');
-        return line === '' ? this.finish(Buffer.concat(this.chunks)) : undefined;
+        if (this.trailerBytes > MAX_HEAD_BYTES)
+          throw new HttpSyntaxError(431, 'trailer section exceeds the size limit');
+        return line === '' ? this.finishMessage(Buffer.concat(this.chunks)) : undefined;
       }
     }
   }
 
-  private take(count: number): Buffer {
-    const taken = this.buffer.subarray(0, count);
-    this.buffer = this.buffer.length === count ? EMPTY : this.buffer.subarray(count);
-    return taken;
+  private consume(count: number): Buffer {
+    const consumed = this.buffer.subarray(0, count);
+    this.buffer = this.buffer.length === count ? EMPTY_BUFFER : this.buffer.subarray(count);
+    return consumed;
   }
 
-  private takeLine(limit: number): string | undefined {
+  /** Returns the next line without its CRLF, or undefined if the line is not complete yet. */
+  private consumeLine(maxBytes: number): string | undefined {
     const end = this.buffer.indexOf('\r\n');
     if (end < 0) {
-      if (this.buffer.length > limit) throw new HttpSyntaxError(400, 'line too long');
+      if (this.buffer.length > maxBytes) throw new HttpSyntaxError(400, 'line exceeds the length limit');
       return undefined;
     }
-    if (end > limit) throw new HttpSyntaxError(400, 'line too long');
-    return this.take(end + 2).toString('latin1', 0, end);
+    if (end > maxBytes) throw new HttpSyntaxError(400, 'line exceeds the length limit');
+    return this.consume(end + 2).toString('latin1', 0, end);
   }
 
-  private finish(body: Buffer): RawMessage {
+  private finishMessage(body: Buffer): RawMessage {
     const message = this.message!;
     message.body = body;
     this.message = undefined;
@@ -139,63 +149,66 @@
     return message;
   }
 
-  private readHead(): RawMessage | 'more' | undefined {
+  private readHead(): RawMessage | 'incomplete' | undefined {
     const end = this.buffer.indexOf('\r\n\r\n');
     if (end < 0) {
-      if (this.buffer.length > MAX_HEAD_BYTES) throw new HttpSyntaxError(431, 'head too large');
-      return 'more';
+      if (this.buffer.length > MAX_HEAD_BYTES) throw new HttpSyntaxError(431, 'head exceeds the size limit');
+      return 'incomplete';
     }
-    if (end > MAX_HEAD_BYTES) throw new HttpSyntaxError(431, 'head too large');
-    const lines = this.take(end + 4)
+    if (end > MAX_HEAD_BYTES) throw new HttpSyntaxError(431, 'head exceeds the size limit');
+    const lines = this.consume(end + 4)
       .toString('latin1', 0, end)
       .split('\r\n');
-    if (lines.length - 1 > MAX_HEADERS) throw new HttpSyntaxError(431, 'too many headers');
+    if (lines.length - 1 > MAX_HEADERS) throw new HttpSyntaxError(431, 'too many header lines');
     const startLine = lines[0]!;
-    const version = this.checkStartLine(startLine);
+    const version = this.parseHttpVersion(startLine);
     const headers = new Map<string, string>();
     for (let i = 1; i < lines.length; i++) this.addHeader(headers, lines[i]!);
     const connection = (headers.get('connection') ?? '').toLowerCase();
     const keepAlive = version === '1.1' ? !connection.includes('close') : connection.includes('keep-alive');
     if (this.kind === 'request' && version === '1.1' && !headers.has('host'))
-      throw new HttpSyntaxError(400, 'no host');
-    this.message = { startLine, headers, body: EMPTY, keepAlive };
-    return this.beginBody(headers);
+      throw new HttpSyntaxError(400, 'Host header is missing');
+    this.message = { startLine, headers, body: EMPTY_BUFFER, keepAlive };
+    return this.startBody(headers);
   }
 
-  private checkStartLine(line: string): string {
+  /** Validates a start line and returns its HTTP version. */
+  private parseHttpVersion(line: string): string {
     const pattern =
       this.kind === 'request'
         ? /^[A-Z]{1,16} [\x21-\x7e]+ HTTP\/(1\.[01])$/
         : /^HTTP\/(1\.[01]) \d{3}( .*)?$/;
     const match = pattern.exec(line);
-    if (!match) throw new HttpSyntaxError(400, 'bad start line');
+    if (!match) throw new HttpSyntaxError(400, 'invalid start line');
     return match[1]!;
   }
 
   private addHeader(headers: Map<string, string>, line: string): void {
-    const [name, value] = checkedLines.get(line) ?? checkHeaderLine(line);
-    // Two lengths, or a length and chunks, are how one message is smuggled inside another.
+    const [name, value] = parsedHeaderLines.get(line) ?? parseHeaderLine(line);
+    // Two lengths, or a length together with chunks, allow request smuggling, where one message is hidden inside another.
+    // `startBody` rejects the second case.
     if (headers.has(name) && (name === 'content-length' || name === 'transfer-encoding' || name === 'host'))
-      throw new HttpSyntaxError(400, `repeated ${name}`);
+      throw new HttpSyntaxError(400, `repeated ${name} header`);
     headers.set(name, value);
   }
 
-  private beginBody(headers: Map<string, string>): RawMessage | undefined {
+  /** Determines how the body is delimited. Returns the message if it has no body. */
+  private startBody(headers: Map<string, string>): RawMessage | undefined {
     const encoding = headers.get('transfer-encoding');
     const length = headers.get('content-length');
     if (encoding !== undefined) {
       if (length !== undefined || encoding.toLowerCase() !== 'chunked')
-        throw new HttpSyntaxError(400, 'bad transfer encoding');
+        throw new HttpSyntaxError(400, 'Transfer-Encoding is unsupported or combined with Content-Length');
       this.stage = 'chunkSize';
       this.bodyBytes = 0;
       this.trailerBytes = 0;
       return undefined;
     }
-    if (length === undefined) return this.finish(EMPTY);
-    if (!/^\d{1,10}$/.test(length)) throw new HttpSyntaxError(400, 'bad content length');
-    this.needed = Number(length);
-    if (this.needed > this.maxBody) throw new HttpSyntaxError(413, 'body too large');
-    this.stage = 'length';
+    if (length === undefined) return this.finishMessage(EMPTY_BUFFER);
+    if (!/^\d{1,10}$/.test(length)) throw new HttpSyntaxError(400, 'invalid Content-Length header');
+    this.expectedBytes = Number(length);
+    if (this.expectedBytes > this.maxBodyBytes) throw new HttpSyntaxError(413, 'body exceeds the size limit');
+    this.stage = 'fixedLengthBody';
     return undefined;
   }
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,3 +1,4 @@
+/** HTTP server with a limited number of connections. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
@@ -8,10 +9,11 @@
   MAX_BODY_BYTES,
   REQUEST_READ_MS,
 } from '../constants.js';
-import type { Handler, HttpRequest, HttpResponse } from './message.js';
+import type { RequestHandler, HttpRequest, HttpResponse } from './message.js';
 import { HttpParser, HttpSyntaxError, type RawMessage } from './parser.js';
 
-const REASONS: Record<number, string> = {
+/** Reason phrases by status code. */
+const REASON_PHRASES: Record<number, string> = {
   200: 'OK',
   201: 'Created',
   400: 'Bad Request',
@@ -26,80 +28,84 @@
   503: 'Service Unavailable',
 };
 
+/** Formats a response as HTTP/1.1 text. `keepAlive` is false if the connection is closed after it. */
 export function formatResponse(response: HttpResponse, keepAlive: boolean): string {
-  const retry = response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
+  const retryAfterHeader =
+    response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
   return (
-    `HTTP/1.1 ${response.status} ${REASONS[response.status] ?? 'Status'}\r\n` +
+    `HTTP/1.1 ${response.status} ${REASON_PHRASES[response.status] ?? 'Status'}\r\n` +
     `Content-Type: application/json\r\nContent-Length: ${Buffer.byteLength(response.body)}\r\n` +
-    `${retry}${keepAlive ? '' : 'Connection: close\r\n'}\r\n${response.body}`
+    `${retryAfterHeader}${keepAlive ? '' : 'Connection: close\r\n'}\r\n${response.body}`
   );
 }
 
-function toRequest(message: RawMessage): HttpRequest {
+function parseRequest(message: RawMessage): HttpRequest {
   const [method, target] = message.startLine.split(' ') as [string, string];
-  const mark = target.indexOf('?');
+  const questionMarkIndex = target.indexOf('?');
   return {
     method,
-    path: mark < 0 ? target : target.slice(0, mark),
-    query: mark < 0 ? '' : target.slice(mark + 1),
+    path: questionMarkIndex < 0 ? target : target.slice(0, questionMarkIndex),
+    query: questionMarkIndex < 0 ? '' : target.slice(questionMarkIndex + 1),
     body: message.body.toString('utf8'),
   };
 }
 
-/** One accepted connection: one request at a time, later bytes wait in the socket. */
-class Connection {
+/** An accepted connection. It handles one request at a time, while later bytes wait in the socket. */
+class ServerConnection {
   private readonly parser = new HttpParser('request', MAX_BODY_BYTES);
-  private readonly queue: RawMessage[] = [];
-  private busy = false;
-  private ended = false;
-  private lastMs: number;
+  private readonly pendingRequests: RawMessage[] = [];
+  private isHandlingRequest = false;
+  /** Whether the client has ended its side of the connection. */
+  private isHalfClosed = false;
+  /** When the last request began to arrive or the last response was sent, on the steady clock. */
+  private lastActivityMs: number;
 
   constructor(
     private readonly socket: Socket,
-    private readonly handler: Handler,
+    private readonly handler: RequestHandler,
     private readonly clock: Clock,
     private readonly log: Logger,
-    /** Called with each answer, so that the connections stand in the order of their last use. */
-    private readonly onUsed: () => void,
-    /** Whether connections are scarce: then each ends after its answer, and another client has its turn. */
-    private readonly isCrowded: () => boolean,
+    /** Called with each response, so that the server keeps the connections in the order of their last use. */
+    private readonly onResponse: () => void,
+    /** Whether connections are scarce. If so, each one is closed after its response so that another client can connect. */
+    private readonly areConnectionsScarce: () => boolean,
   ) {
-    this.lastMs = clock.steadyMs();
+    this.lastActivityMs = clock.steadyMs();
     socket.setNoDelay(true);
     socket.on('data', (data: Buffer) => this.onData(data));
     socket.on('end', () => {
-      // Half closed: what was asked is still answered, then the socket must go, or it would be kept for ever.
-      this.ended = true;
-      if (!this.busy) socket.destroy();
+      // The request in progress is still answered. The socket is then closed, as it would otherwise stay open forever.
+      this.isHalfClosed = true;
+      if (!this.isHandlingRequest) socket.destroy();
     });
     socket.on('error', () => socket.destroy());
   }
 
-  /** Whether nothing was asked on it for so long that its client has most likely left without a word. */
-  isLeft(now: number): boolean {
-    return !this.busy && now - this.lastMs > LEFT_CONNECTION_MS;
+  /** Whether there was no request for so long that the client is most likely gone without having closed the connection. */
+  isAbandoned(nowMs: number): boolean {
+    return !this.isHandlingRequest && nowMs - this.lastActivityMs > LEFT_CONNECTION_MS;
   }
 
   get isBusy(): boolean {
-    return this.busy;
+    return this.isHandlingRequest;
   }
 
   close(): void {
     this.socket.destroy();
   }
 
-  /** Called now and then: closes idle connections and requests that never complete. */
-  sweep(now: number): void {
-    if (this.busy) return;
-    const limit = this.parser.idle ? IDLE_CONNECTION_MS : REQUEST_READ_MS;
-    if (now - this.lastMs > limit) this.socket.destroy();
+  /** Closes the connection if it is idle for too long or if a request does not arrive completely in time. */
+  closeIfTimedOut(nowMs: number): void {
+    if (this.isHandlingRequest) return;
+    const timeoutMs = this.parser.isIdle ? IDLE_CONNECTION_MS : REQUEST_READ_MS;
+    if (nowMs - this.lastActivityMs > timeoutMs) this.socket.destroy();
   }
 
   private onData(data: Buffer): void {
-    // Only the first byte of a request moves the clock, so a trickle does not hold a slot for ever.
-    if (this.parser.idle) this.lastMs = this.clock.steadyMs();
+    // Only the first byte of a request restarts the timeout, so that a slow sender does not hold a connection forever.
+    if (this.parser.isIdle) this.lastActivityMs = this.clock.steadyMs();
     try {
-      this.queue.push(...this.parser.feed(data));
+      this.pendingRequests.push(...this.parser.feed(data));
     } catch (error) {
       const status = error instanceof HttpSyntaxError ? error.status : 400;
       this.socket.end(formatResponse({ status, body: '{"error":"malformed"}' }, false));
@@ -107,35 +113,35 @@
       this.socket.destroySoon();
       return;
     }
-    // Who sends on while a request is answered floods: nothing more is read of it until then.
-    if (this.busy) this.socket.pause();
-    this.next();
+    // A client that sends more during a request could flood the server, so reading pauses until the response is sent.
+    if (this.isHandlingRequest) this.socket.pause();
+    this.handleNextRequest();
   }
 
-  private next(): void {
-    if (this.busy) return;
-    const message = this.queue.shift();
+  private handleNextRequest(): void {
+    if (this.isHandlingRequest) return;
+    const message = this.pendingRequests.shift();
     if (!message) return;
-    this.busy = true;
-    let answered = false;
+    this.isHandlingRequest = true;
+    let hasResponded = false;
     const respond = (response: HttpResponse): void => {
-      if (answered) return;
-      answered = true;
-      this.busy = false;
-      this.lastMs = this.clock.steadyMs();
+      if (hasResponded) return;
+      hasResponded = true;
+      this.isHandlingRequest = false;
+      this.lastActivityMs = this.clock.steadyMs();
       if (this.socket.destroyed) return;
-      this.onUsed();
-      const keepAlive = message.keepAlive && response.close !== true && !this.isCrowded();
+      this.onResponse();
+      const keepAlive = message.keepAlive && response.close !== true && !this.areConnectionsScarce();
       this.socket.write(formatResponse(response, keepAlive));
-      if (!keepAlive || this.ended) {
+      if (!keepAlive || this.isHalfClosed) {
         this.socket.end();
         return;
       }
       if (this.socket.isPaused()) this.socket.resume();
-      this.next();
+      this.handleNextRequest();
     };
     try {
-      this.handler(toRequest(message), respond);
+      this.handler(parseRequest(message), respond);
     } catch (error) {
       this.log.error({ err: error }, 'request handler failed');
       respond({ status: 503, body: '{"error":"internal"}', retryAfterS: 1 });
@@ -143,61 +149,64 @@
   }
 }
 
-/** Listens at `address` ("ip:port"); resolves once it does. */
+/**
+ * Listens on `address` ("ip:port") and passes each request to `handler`. Resolves when the server is listening. Connections
+ * beyond `maxConnections` are closed at once unless an abandoned one can be closed instead.
+ */
 export function serveHttp(
   address: string,
   maxConnections: number,
-  handler: Handler,
+  handler: RequestHandler,
   clock: Clock,
   log: Logger,
 ): Promise<Server> {
   const { host, port } = splitAddress(address);
-  // Longest unused first.
-  const connections = new Map<Socket, Connection>();
-  // When all are taken, one that was left goes: hundreds of machines that were cut off leave theirs half open, and
-  // neither they nor users may be locked out by them.
-  const makeRoom = (): boolean => {
+  // Ordered by last use, longest unused first.
+  const connections = new Map<Socket, ServerConnection>();
+  // At the limit, an abandoned connection is closed for a new one. Hundreds of machines that were cut off from the network
+  // leave their old connections half open, and these must lock out neither the machines nor the users.
+  const evictAbandonedConnection = (): boolean => {
     for (const [socket, connection] of connections) {
       if (connection.isBusy) continue;
-      if (!connection.isLeft(clock.steadyMs())) return false;
+      if (!connection.isAbandoned(clock.steadyMs())) return false;
       connections.delete(socket);
       connection.close();
       return true;
     }
     return false;
   };
-  // With fewer sockets than clients, none may keep one while others are refused.
-  const crowdedAt = Math.ceil(maxConnections * CROWDED_SHARE);
-  let toldCrowded = false;
-  const isCrowded = (): boolean => {
-    const crowded = connections.size > crowdedAt;
-    if (crowded && !toldCrowded)
+  // If there are fewer connections than clients, no client may keep one while others are refused.
+  const scarcityThreshold = Math.ceil(maxConnections * CROWDED_SHARE);
+  let hasWarned = false;
+  const areConnectionsScarce = (): boolean => {
+    const isScarce = connections.size > scarcityThreshold;
+    if (isScarce && !hasWarned)
       log.warn(
         { open: connections.size, limit: maxConnections },
-        'sockets are scarce: connections end early',
+        'client connections are scarce; closing each one after its response',
       );
-    // Told again only after a while without.
-    if (crowded || connections.size < crowdedAt / 2) toldCrowded = crowded;
-    return crowded;
+    // The warning is repeated only after the number of connections has fallen below half of the threshold.
+    if (isScarce || connections.size < scarcityThreshold / 2) hasWarned = isScarce;
+    return isScarce;
   };
   const server = createServer({ allowHalfOpen: true }, (socket) => {
-    if (connections.size >= maxConnections && !makeRoom()) {
+    if (connections.size >= maxConnections && !evictAbandonedConnection()) {
       socket.destroy();
       return;
     }
-    const used = (): void => {
+    const markUsed = (): void => {
       connections.delete(socket);
       connections.set(socket, connection);
     };
-    const connection = new Connection(socket, handler, clock, log, used, isCrowded);
+    const connection = new ServerConnection(socket, handler, clock, log, markUsed, areConnectionsScarce);
     connections.set(socket, connection);
     socket.on('close', () => connections.delete(socket));
   });
-  const sweep = setInterval(() => {
-    const now = clock.steadyMs();
-    for (const connection of connections.values()) connection.sweep(now);
+  const timeoutSweep = setInterval(() => {
+    const nowMs = clock.steadyMs();
+    for (const connection of connections.values()) connection.closeIfTimedOut(nowMs);
   }, REQUEST_READ_MS / 2);
-  server.on('close', () => clearInterval(sweep));
+  server.on('close', () => clearInterval(timeoutSweep));
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen({ host, port, backlog: 511 }, () => {
@@ -208,6 +217,7 @@
   });
 }
 
+/** Splits an address ("ip:port") into its host and its port. */
 export function splitAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/wire/json.ts
+++ b/src/wire/json.ts
@@ -1,12 +1,13 @@
-/** JSON of all interfaces: integers beyond 2^53 keep every digit. */
+/** JSON for all interfaces. Integers beyond 2^53 keep every digit. */
 import { parse, stringify } from 'lossless-json';
 
-/** An integer of the wire, up to 2^64: a bigint only where a number would lose precision. */
+/** An integer in a message, from 0 to 2^64 - 1. It is a bigint only if a number would lose precision. */
 export type WireInt = number | bigint;
 
+/** Texts without such a run of digits contain no integer beyond 2^53. */
 const LONG_DIGITS = /\d{16}/;
 
-function toNumber(text: string): number | bigint {
+function parseNumber(text: string): number | bigint {
   if (/^-?\d+$/.test(text)) {
     const value = Number(text);
     return Number.isSafeInteger(value) ? value : BigInt(text);
@@ -14,9 +15,9 @@
   return Number(text);
 }
 
-/** Parses JSON without losing digits of large integers. Throws on malformed text. */
+/** Parses JSON without losing digits of large integers. Throws an error if the text is malformed. */
 export function parseJson(text: string): unknown {
-  return LONG_DIGITS.test(text) ? parse(text, null, toNumber) : JSON.parse(text);
+  return LONG_DIGITS.test(text) ? parse(text, null, parseNumber) : JSON.parse(text);
 }
 
 function hasBigint(value: unknown): boolean {
@@ -25,17 +26,17 @@
   return Object.values(value).some(hasBigint);
 }
 
-/** JSON text of a value; bigints become integers. */
+/** Formats a value as JSON. Bigints become integers. */
 export function formatJson(value: unknown): string {
   return (hasBigint(value) ? stringify(value) : JSON.stringify(value)) ?? 'null';
 }
 
-/** Whether the value is a JSON object: no list and not null. */
+/** Whether the value is a JSON object. Arrays and null are not. */
 export function isObject(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Whether the value is an integer that the wire allows: from 0 to 2^64, without 2^64 itself. */
+/** Whether the value is an integer that may stand in a message, from 0 to 2^64 - 1. */
 export function isWireInt(value: unknown): value is WireInt {
   if (typeof value === 'bigint') return value >= 0n && value < 1n << 64n;
   return typeof value === 'number' && Number.isInteger(value) && value >= 0;
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -9,68 +9,84 @@
 import { HttpParser, HttpSyntaxError } from '../src/http/parser.js';
 import { serveHttp } from '../src/http/server.js';
 
-const HOST = 'Host: a\r\n';
+const HOST_HEADER = 'Host: a\r\n';
 
-const GOOD: [name: string, bytes: string, expected: [line: string, body: string, keepAlive: boolean][]][] = [
-  ['no body', `GET /x HTTP/1.1\r\n${HOST}\r\n`, [['GET /x HTTP/1.1', '', true]]],
-  ['length', `POST /x HTTP/1.1\r\n${HOST}Content-Length: 3\r\n\r\nabc`, [['POST /x HTTP/1.1', 'abc', true]]],
+const VALID_REQUESTS: [
+  name: string,
+  bytes: string,
+  expected: [line: string, body: string, keepAlive: boolean][],
+][] = [
+  ['no body', `GET /x HTTP/1.1\r\n${HOST_HEADER}\r\n`, [['GET /x HTTP/1.1', '', true]]],
+  [
+    'fixed length',
+    `POST /x HTTP/1.1\r\n${HOST_HEADER}Content-Length: 3\r\n\r\nabc`,
+    [['POST /x HTTP/1.1', 'abc', true]],
+  ],
   [
     'chunks and trailer',
-    `POST /x HTTP/1.1\r\n${HOST}Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\nT: 1\r\n\r\n`,
+    `POST /x HTTP/1.1\r\n${HOST_HEADER}Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\nT: 1\r\n\r\n`,
     [['POST /x HTTP/1.1', 'abc', true]],
   ],
-  ['close', `GET /x HTTP/1.1\r\n${HOST}Connection: close\r\n\r\n`, [['GET /x HTTP/1.1', '', false]]],
-  ['old version', 'GET /x HTTP/1.0\r\n\r\n', [['GET /x HTTP/1.0', '', false]]],
   [
-    'two in a row',
-    `GET /a HTTP/1.1\r\n${HOST}\r\nGET /b HTTP/1.1\r\n${HOST}\r\n`,
+    'connection close',
+    `GET /x HTTP/1.1\r\n${HOST_HEADER}Connection: close\r\n\r\n`,
+    [['GET /x HTTP/1.1', '', false]],
+  ],
+  ['HTTP/1.0', 'GET /x HTTP/1.0\r\n\r\n', [['GET /x HTTP/1.0', '', false]]],
+  [
+    'two requests',
+    `GET /a HTTP/1.1\r\n${HOST_HEADER}\r\nGET /b HTTP/1.1\r\n${HOST_HEADER}\r\n`,
     [
       ['GET /a HTTP/1.1', '', true],
       ['GET /b HTTP/1.1', '', true],
     ],
   ],
-  ['not complete', `POST /x HTTP/1.1\r\n${HOST}Content-Length: 3\r\n\r\nab`, []],
+  ['incomplete body', `POST /x HTTP/1.1\r\n${HOST_HEADER}Content-Length: 3\r\n\r\nab`, []],
 ];
 
-const BAD: [name: string, bytes: string, status: number][] = [
+const INVALID_REQUESTS: [name: string, bytes: string, status: number][] = [
   ['no request line', '\r\n\r\n', 400],
-  ['unknown version', `GET /x HTTP/2.0\r\n${HOST}\r\n`, 400],
+  ['unknown version', `GET /x HTTP/2.0\r\n${HOST_HEADER}\r\n`, 400],
   ['no host', 'GET /x HTTP/1.1\r\n\r\n', 400],
-  ['header without colon', `GET /x HTTP/1.1\r\n${HOST}oops\r\n\r\n`, 400],
-  ['space before colon', `GET /x HTTP/1.1\r\n${HOST}A : b\r\n\r\n`, 400],
-  ['two lengths', `POST /x HTTP/1.1\r\n${HOST}Content-Length: 1\r\nContent-Length: 2\r\n\r\na`, 400],
+  ['header without colon', `GET /x HTTP/1.1\r\n${HOST_HEADER}oops\r\n\r\n`, 400],
+  ['space before colon', `GET /x HTTP/1.1\r\n${HOST_HEADER}A : b\r\n\r\n`, 400],
+  ['two lengths', `POST /x HTTP/1.1\r\n${HOST_HEADER}Content-Length: 1\r\nContent-Length: 2\r\n\r\na`, 400],
   [
     'length and chunks',
-    `POST /x HTTP/1.1\r\n${HOST}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na`,
+    `POST /x HTTP/1.1\r\n${HOST_HEADER}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na`,
+    400,
+  ],
+  ['negative length', `POST /x HTTP/1.1\r\n${HOST_HEADER}Content-Length: -1\r\n\r\n`, 400],
+  ['invalid chunk size', `POST /x HTTP/1.1\r\n${HOST_HEADER}Transfer-Encoding: chunked\r\n\r\nzz\r\n`, 400],
+  [
+    'chunk without CRLF',
+    `POST /x HTTP/1.1\r\n${HOST_HEADER}Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n`,
     400,
   ],
-  ['negative length', `POST /x HTTP/1.1\r\n${HOST}Content-Length: -1\r\n\r\n`, 400],
-  ['chunk size', `POST /x HTTP/1.1\r\n${HOST}Transfer-Encoding: chunked\r\n\r\nzz\r\n`, 400],
-  ['chunk end', `POST /x HTTP/1.1\r\n${HOST}Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n`, 400],
-  ['body too large', `POST /x HTTP/1.1\r\n${HOST}Content-Length: ${MAX_BODY_BYTES + 1}\r\n\r\n`, 413],
-  ['chunks too large', `POST /x HTTP/1.1\r\n${HOST}Transfer-Encoding: chunked\r\n\r\nfffff\r\n`, 413],
-  ['endless head', `GET /x HTTP/1.1\r\n${HOST}A: ${'x'.repeat(9000)}`, 431],
-  ['header flood', `GET /x HTTP/1.1\r\n${HOST}${'A: b\r\n'.repeat(100)}\r\n`, 431],
+  ['body too large', `POST /x HTTP/1.1\r\n${HOST_HEADER}Content-Length: ${MAX_BODY_BYTES + 1}\r\n\r\n`, 413],
+  ['chunks too large', `POST /x HTTP/1.1\r\n${HOST_HEADER}Transfer-Encoding: chunked\r\n\r\nfffff\r\n`, 413],
+  ['head too large', `GET /x HTTP/1.1\r\n${HOST_HEADER}A: ${'x'.repeat(9000)}`, 431],
+  ['too many headers', `GET /x HTTP/1.1\r\n${HOST_HEADER}${'A: b\r\n'.repeat(100)}\r\n`, 431],
 ];
 
-test('the parser takes what is well formed, however it is cut into pieces', () => {
-  for (const [name, bytes, expected] of GOOD) {
-    for (const size of [1, 7, bytes.length]) {
+test('the parser accepts valid requests, however they are split', () => {
+  for (const [name, bytes, expected] of VALID_REQUESTS) {
+    for (const sliceBytes of [1, 7, bytes.length]) {
       const parser = new HttpParser('request', MAX_BODY_BYTES);
-      const found = [];
-      for (let at = 0; at < bytes.length; at += size)
-        found.push(...parser.feed(Buffer.from(bytes.slice(at, at + size))));
+      const messages = [];
+      for (let offset = 0; offset < bytes.length; offset += sliceBytes)
+        messages.push(...parser.feed(Buffer.from(bytes.slice(offset, offset + sliceBytes))));
       assert.deepEqual(
-        found.map((m) => [m.startLine, m.body.toString(), m.keepAlive]),
+        messages.map((message) => [message.startLine, message.body.toString(), message.keepAlive]),
         expected,
-        `${name}, pieces of ${size}`,
+        `${name}, slices of ${sliceBytes} bytes`,
       );
     }
   }
 });
 
-test('the parser refuses what is not', () => {
-  for (const [name, bytes, status] of BAD) {
+test('the parser rejects invalid requests', () => {
+  for (const [name, bytes, status] of INVALID_REQUESTS) {
     const parser = new HttpParser('request', MAX_BODY_BYTES);
     assert.throws(
       () => parser.feed(Buffer.from(bytes)),
@@ -80,16 +96,16 @@
   }
 });
 
-function addressOf(server: Server): string {
+function getAddress(server: Server): string {
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-async function echoServer(most = 10, clock: Clock = systemClock): Promise<Server> {
+async function startEchoServer(maxConnections = 10, clock: Clock = systemClock): Promise<Server> {
   return serveHttp(
     '127.0.0.1:0',
-    most,
+    maxConnections,
     (request, respond) => {
-      if (request.path === '/throw') throw new Error('on purpose');
+      if (request.path === '/throw') throw new Error('thrown by the test');
       respond({ status: 200, body: JSON.stringify(request) });
     },
     clock,
@@ -97,93 +113,99 @@
   );
 }
 
-/** Sends raw bytes, half-closes, and returns all that came back until the other side closed. */
-function raw(address: string, bytes: string): Promise<string> {
+/** Sends raw bytes, half-closes the connection, and returns everything that is received until the server closes it. */
+function sendRaw(address: string, bytes: string): Promise<string> {
   const [host, port] = address.split(':') as [string, string];
   return new Promise((resolve, reject) => {
     const socket = connect({ host, port: Number(port) }, () => socket.end(bytes));
-    let text = '';
-    socket.on('data', (data) => (text += data.toString()));
-    socket.on('close', () => resolve(text));
+    let received = '';
+    socket.on('data', (data) => (received += data.toString()));
+    socket.on('close', () => resolve(received));
     socket.on('error', reject);
   });
 }
 
-test('server: answers, errors of a handler, malformed input and half-closed connections', async () => {
-  const server = await echoServer();
-  const address = addressOf(server);
-  const cases: [bytes: string, answer: RegExp][] = [
-    [`GET /a?b=1 HTTP/1.1\r\n${HOST}\r\n`, /^HTTP\/1.1 200 .*"path":"\/a","query":"b=1"/s],
-    [`GET /throw HTTP/1.1\r\n${HOST}\r\n`, /^HTTP\/1.1 503 .*Retry-After: 1/s],
+test('server: responses, handler errors, malformed requests and half-closed connections', async () => {
+  const server = await startEchoServer();
+  const address = getAddress(server);
+  const requestCases: [bytes: string, answer: RegExp][] = [
+    [`GET /a?b=1 HTTP/1.1\r\n${HOST_HEADER}\r\n`, /^HTTP\/1.1 200 .*"path":"\/a","query":"b=1"/s],
+    [`GET /throw HTTP/1.1\r\n${HOST_HEADER}\r\n`, /^HTTP\/1.1 503 .*Retry-After: 1/s],
     ['nonsense\r\n\r\n', /^HTTP\/1.1 400 .*Connection: close/s],
-    [`POST /a HTTP/1.1\r\n${HOST}Content-Length: 99999999\r\n\r\n`, /^HTTP\/1.1 413 /],
+    [`POST /a HTTP/1.1\r\n${HOST_HEADER}Content-Length: 99999999\r\n\r\n`, /^HTTP\/1.1 413 /],
   ];
-  for (const [bytes, answer] of cases) assert.match(await raw(address, bytes), answer);
+  for (const [bytes, expectedResponse] of requestCases)
+    assert.match(await sendRaw(address, bytes), expectedResponse);
   await new Promise((resolve) => server.close(resolve));
 });
 
-test('client: calls on kept connections, and tells unsent from unclear', async () => {
-  const server = await echoServer();
+test('client: reuses connections, and distinguishes unsent requests from those that may have been executed', async () => {
+  const server = await startEchoServer();
   const caller = new SocketCaller(systemClock, 2);
-  const address = addressOf(server);
-  const bodies = await Promise.all(
+  const address = getAddress(server);
+  const responses = await Promise.all(
     Array.from({ length: 20 }, (_, i) => caller.call(address, 'POST', `/${i}`, `"${i}"`, 5000)),
   );
-  bodies.forEach((response, i) =>
+  responses.forEach((response, i) =>
     assert.equal((JSON.parse(response.body) as { path: string }).path, `/${i}`),
   );
   await assert.rejects(
     caller.call('127.0.0.1:1', 'GET', '/', undefined, 5000),
     (error: unknown) => error instanceof CallError && error.failure === 'unsent',
   );
-  const silent = createServer((socket) => socket.on('data', () => socket.destroy()));
-  await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
+  const droppingServer = createServer((socket) => socket.on('data', () => socket.destroy()));
+  await new Promise<void>((resolve) => droppingServer.listen(0, '127.0.0.1', resolve));
   await assert.rejects(
-    caller.call(addressOf(silent), 'GET', '/', undefined, 5000),
+    caller.call(getAddress(droppingServer), 'GET', '/', undefined, 5000),
     (error: unknown) => error instanceof CallError && error.failure === 'unclear',
   );
   caller.close();
-  silent.close();
+  droppingServer.close();
   await new Promise((resolve) => server.close(resolve));
 });
 
-test('server: when all connections are taken, only one that was left gives way', async () => {
+test('server: at the connection limit, only an abandoned connection is closed for a new one', async () => {
   let nowMs = 0;
-  const server = await echoServer(2, { ...systemClock, steadyMs: () => nowMs });
-  const address = addressOf(server);
+  const server = await startEchoServer(2, { ...systemClock, steadyMs: () => nowMs });
+  const address = getAddress(server);
   const [host, port] = address.split(':') as [string, string];
-  const ask = (socket: Socket): Promise<boolean> =>
+  const receivesResponse = (socket: Socket): Promise<boolean> =>
     new Promise((resolve) => {
       if (socket.destroyed) return resolve(false);
       socket.once('data', () => resolve(true));
       socket.once('close', () => resolve(false));
-      socket.write(`GET / HTTP/1.1\r\n${HOST}\r\n`);
+      socket.write(`GET / HTTP/1.1\r\n${HOST_HEADER}\r\n`);
     });
-  const open = (): Socket => connect({ host, port: Number(port) }).on('error', () => undefined);
-  const [left, used] = [open(), open()];
-  assert.ok((await ask(left)) && (await ask(used)));
+  const openSocket = (): Socket => connect({ host, port: Number(port) }).on('error', () => undefined);
+  const [abandoned, active] = [openSocket(), openSocket()];
+  assert.ok((await receivesResponse(abandoned)) && (await receivesResponse(active)));
   nowMs = LEFT_CONNECTION_MS - 1_000;
-  assert.ok(await ask(used));
-  assert.equal(await ask(open()), false, 'all are in use');
+  assert.ok(await receivesResponse(active));
+  assert.equal(await receivesResponse(openSocket()), false, 'all connections are in use');
   nowMs = LEFT_CONNECTION_MS + 1_000;
-  const late = open();
-  assert.ok(await ask(late), 'the one that was left gives way');
-  assert.ok(await ask(used), 'the one in use stays');
-  assert.equal(await ask(left), false);
-  for (const socket of [left, used, late]) socket.destroy();
+  const replacement = openSocket();
+  assert.ok(await receivesResponse(replacement), 'the abandoned connection is closed for the new one');
+  assert.ok(await receivesResponse(active), 'the active connection stays open');
+  assert.equal(await receivesResponse(abandoned), false);
+  for (const socket of [abandoned, active, replacement]) socket.destroy();
   await new Promise((resolve) => server.close(resolve));
 });
 
-test('client: connections to all addresses together are bounded, an idle one goes for a new one', async () => {
-  const servers = await Promise.all([echoServer(), echoServer(), echoServer()]);
+test('client: the connections to all addresses are limited, and an idle one is closed for a new one', async () => {
+  const servers = await Promise.all([startEchoServer(), startEchoServer(), startEchoServer()]);
   const caller = new SocketCaller(systemClock, 1, 2);
-  const call = (server: Server) => caller.call(addressOf(server), 'GET', '/', undefined, 5000);
+  const call = (server: Server) => caller.call(getAddress(server), 'GET', '/', undefined, 5000);
   for (const server of [...servers, ...servers]) assert.equal((await call(server)).status, 200);
-  const counts = await Promise.all(
-    servers.map((s) => new Promise<number>((resolve) => s.getConnections((_e, n) => resolve(n)))),
+  const connectionCounts = await Promise.all(
+    servers.map(
+      (s) =>
+        new Promise<number>((resolve) =>
+          s.getConnections((_error, connectionCount) => resolve(connectionCount)),
+        ),
+    ),
   );
-  assert.ok(counts.reduce((a, b) => a + b) <= 3, `${counts.join(' ')} open`);
-  // All in use: the third is told at once.
+  assert.ok(connectionCounts.reduce((a, b) => a + b) <= 3, `${connectionCounts.join(' ')} open`);
+  // Both allowed connections are in use, so the third call is rejected at once.
   const results = await Promise.allSettled(servers.map(call));
   assert.deepEqual(
     results.map((r) => (r.status === 'rejected' ? (r.reason as CallError).failure : r.value.status)),
@@ -193,27 +215,28 @@
   await Promise.all(servers.map((s) => new Promise((resolve) => s.close(resolve))));
 });
 
-// With fewer sockets than workers, those that came first kept theirs and the others were refused for ever.
-test('more clients than sockets: connections end after their answers, and everyone has a turn', async () => {
-  const MOST = 10;
-  const CLIENTS = 25;
+// Guards against starvation: with fewer sockets than workers, the workers that connected first kept their connections, and
+// all others were refused forever.
+test('server: with more clients than sockets, connections close after their responses and all clients are served', async () => {
+  const MAX_CONNECTIONS = 10;
+  const CLIENT_COUNT = 25;
   const server = await serveHttp(
     '127.0.0.1:0',
-    MOST,
+    MAX_CONNECTIONS,
     (_request, respond) => setImmediate(() => respond({ status: 200, body: '{}' })),
     systemClock,
     pino({ level: 'silent' }),
   );
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const callers = Array.from({ length: CLIENTS }, () => new SocketCaller(systemClock, 1));
-  const served = new Map<SocketCaller, number>();
+  const callers = Array.from({ length: CLIENT_COUNT }, () => new SocketCaller(systemClock, 1));
+  const responseCounts = new Map<SocketCaller, number>();
   for (let round = 0; round < 4; round++)
     for (const caller of callers) {
       const response = await caller.call(address, 'GET', '/x', undefined, 2000).catch(() => undefined);
-      if (response) served.set(caller, (served.get(caller) ?? 0) + 1);
+      if (response) responseCounts.set(caller, (responseCounts.get(caller) ?? 0) + 1);
     }
   for (const caller of callers) caller.close();
   server.close();
-  assert.deepEqual(new Set(served.values()), new Set([4]));
-  assert.equal(served.size, CLIENTS);
+  assert.deepEqual(new Set(responseCounts.values()), new Set([4]));
+  assert.equal(responseCounts.size, CLIENT_COUNT);
 });
