--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: builds its parts in the order of their dependencies, and starts them. */
+/** Creates the parts of a controller in the order of their dependencies, and starts them. */
 import type { Logger } from 'pino';
 import { LeasedRoles } from '@pumicehinge/duties';
 import type { Clock } from '@pumicehinge/runtime';
@@ -17,7 +17,7 @@
 import type { PeerTransport } from './peers/peer-transport.js';
 import { DependencyGraph } from './pipeline/dependency-graph.js';
 import type { Settings } from './settings.js';
-import { shareMemory } from './sizing.js';
+import { divideMemory } from './sizing.js';
 import { decodeJobDependencies, isJobKey, jobKey, jobUidOfKey, ROOT_PREFIX } from './state/records.js';
 import { StateReplica } from './state/state-replica.js';
 import { StoreClient } from './state/store-client.js';
@@ -26,19 +26,19 @@
 import { HeartbeatRouter } from './workers/heartbeat-router.js';
 import { LeaseRenewalProxy } from './workers/lease-renewal-proxy.js';
 
-/** What a controller gets from outside: sockets and clocks from the program, or those of a simulation. */
+/** What a controller needs from its environment. The program provides real sockets and clocks, a simulation simulated ones. */
 export interface ControllerEnvironment {
   readonly settings: Settings;
   readonly clock: Clock;
-  /** Random numbers from 0 to below 1. */
+  /** Returns a random number that is at least 0 and less than 1. */
   readonly random: () => number;
-  /** Steady ms at which this process began. */
+  /** When this process started, in milliseconds on the steady clock. */
   readonly processStartMs: number;
-  /** Bytes of heap and buffers in use. */
+  /** Returns how many bytes of heap and buffers are in use. */
   readonly memoryUsedBytes: () => number;
-  /** For calls to the state store and the cloud. */
+  /** The client for calls to the state store and the cloud. */
   readonly httpClient: HttpCaller;
-  /** For calls to workers. */
+  /** The client for calls to workers. */
   readonly workerHttpClient: HttpCaller;
   /** The transport to the other controllers. */
   readonly peers: PeerTransport;
@@ -46,8 +46,8 @@
 }
 
 /**
- * The parts of one controller: the API of users and workers, and the leader while it holds a term. Parts register their
- * listeners when they are built: the order of the constructor is the order in which they see changes and messages.
+ * A controller. It serves the API for users and workers, and it runs the leader while it holds a term. The parts register
+ * their listeners when they are created, so the constructor determines the order in which they receive changes and messages.
  */
 export class Controller {
   private readonly storeClient: StoreClient;
@@ -73,7 +73,7 @@
       maxCancellationLagMs(settings.cancelS, settings.leaseS),
     );
     this.jobDependencies = this.createJobDependencies();
-    this.replica.onSynced((askedMs) => this.cancellationWatermark.advance(askedMs));
+    this.replica.onSynced((requestedMs) => this.cancellationWatermark.advance(requestedMs));
     this.batcher = new TransactionBatcher(this.storeClient, this.replica, clock, log);
     this.election = this.createElection();
     this.leasedRoles = settings.operator.duties.enabled ? this.createLeasedRoles() : undefined;
@@ -87,7 +87,7 @@
     this.replica.onChange((change) => this.leadership.leader?.send({ kind: 'keyChanged', change }));
   }
 
-  /** Starts the watch of the state store, the election and all periodic work. */
+  /** Starts watching the state store, the election and all periodic work. */
   start(): void {
     void this.replica.run();
     this.election.start();
@@ -97,12 +97,12 @@
     this.runningTaskCounts.start();
   }
 
-  /** Handles a request of a user or a worker; `respond` is called once, now or later. */
+  /** Handles a request from a user or a worker. `respond` is called once, either before this method returns or later. */
   handleRequest(request: HttpRequest, respond: Respond): void {
     this.userApi.handle(request, respond);
   }
 
-  /** Gives the term up after an unexpected error: the next leader is built anew from the state store. */
+  /** Resigns from the current term after an unexpected error. The next leader rebuilds its state from the state store. */
   resignLeadership(): void {
     this.election.resign();
   }
@@ -118,12 +118,12 @@
     });
   }
 
-  /** The dependencies of jobs; they are updated before any other listener sees a change of a job. */
+  /** Creates the graph of job dependencies. It is updated before any other listener receives a change of a job. */
   private createJobDependencies(): DependencyGraph {
-    const valueOf = (key: string): unknown => this.replica.get(key)?.value;
-    const graph = new DependencyGraph((uid) => decodeJobDependencies(valueOf(jobKey(uid)), valueOf));
+    const getValue = (key: string): unknown => this.replica.get(key)?.value;
+    const graph = new DependencyGraph((uid) => decodeJobDependencies(getValue(jobKey(uid)), getValue));
     this.replica.onChange(({ key, value }) => {
-      const dependencies = isJobKey(key) ? decodeJobDependencies(value, valueOf) : undefined;
+      const dependencies = isJobKey(key) ? decodeJobDependencies(value, getValue) : undefined;
       if (dependencies) graph.update(jobUidOfKey(key), dependencies);
     });
     return graph;
@@ -155,8 +155,8 @@
   private createLeasedRoles(): LeasedRoles {
     const { settings, clock, random, log, httpClient } = this.environment;
     const { replica, batcher, storeClient } = this;
-    const usableRps = settings.cloud.rps * CLOUD_RATE_SHARE;
-    const shares = DELEGATED_CLOUD_SHARES;
+    const usableRequestsPerSecond = settings.cloud.rps * CLOUD_RATE_SHARE;
+    const cloudRateShares = DELEGATED_CLOUD_SHARES;
     return new LeasedRoles({
       member: settings.member,
       store: new ControllerRoleStore(replica, batcher, storeClient),
@@ -165,9 +165,9 @@
       obsoleteRecords: (limit) => findObsoleteRecords(replica, limit),
       maxTransactionOperations: settings.state.txnOps,
       cloudRequestsPerSecond: {
-        rent: usableRps * shares.rent,
-        return: usableRps * shares.return,
-        reclaim: usableRps * shares.reclaim,
+        rent: usableRequestsPerSecond * cloudRateShares.rent,
+        return: usableRequestsPerSecond * cloudRateShares.return,
+        reclaim: usableRequestsPerSecond * cloudRateShares.reclaim,
       },
       clock,
       random,
@@ -211,8 +211,8 @@
 
   private createMemoryGuard(): MemoryGuard {
     const { settings, clock, log, memoryUsedBytes } = this.environment;
-    const { shedAbove } = shareMemory(settings.memoryBytes, settings.peers.length);
-    return new MemoryGuard(clock, memoryUsedBytes, shedAbove, log);
+    const { rejectUsersAboveBytes } = divideMemory(settings.memoryBytes, settings.peers.length);
+    return new MemoryGuard(clock, memoryUsedBytes, rejectUsersAboveBytes, log);
   }
 
   private createUserApi(): UserApi {
--- a/src/launcher.cjs
+++ b/src/launcher.cjs
@@ -1,7 +1,7 @@
 /**
- * Starts the program from V8's compiled code, which the build left beside it: compiling hundreds of kilobytes of source anew
- * at each start takes a small controller seconds. Code that V8 does not take, of another version or with other flags,
- * is compiled from the source as usual.
+ * Starts the program with V8's code cache, which the build writes beside it. Without the cache, compiling hundreds of
+ * kilobytes of source would take a small controller seconds at each start. If V8 rejects the cache because it was made by
+ * another version or with other flags, the source is compiled as usual.
  */
 'use strict';
 
@@ -20,12 +20,12 @@
   }
 }
 
-const writesCache = process.env.PUMICEHINGE_WRITE_CODE_CACHE === '1';
+const shouldWriteCodeCache = process.env.PUMICEHINGE_WRITE_CODE_CACHE === '1';
 const source = `(function (exports, require, module, __filename, __dirname) {${readFileSync(PROGRAM, 'utf8')}\n})`;
 const script = new Script(source, {
   filename: PROGRAM,
-  cachedData: writesCache ? undefined : readCodeCache(),
+  cachedData: shouldWriteCodeCache ? undefined : readCodeCache(),
 });
-// Written at the end of a run, it also holds the functions that are compiled when they are first called.
-if (writesCache) process.on('exit', () => writeFileSync(CODE_CACHE, script.createCachedData()));
+// The cache is written when the process exits, so that it also contains functions that are compiled at their first call.
+if (shouldWriteCodeCache) process.on('exit', () => writeFileSync(CODE_CACHE, script.createCachedData()));
 script.runInThisContext()(exports, require, module, PROGRAM, __dirname);
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,3 +1,4 @@
+/** The controller program. It parses the command line, loads the settings and starts a controller. */
 import { Command } from 'commander';
 import { destination, pino } from 'pino';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -9,51 +10,52 @@
 import { serveHttp } from './http/server.js';
 import { TcpPeerTransport } from './peers/peer-transport.js';
 import { settingsWarnings } from './settings-warnings.js';
-import { shareMemory } from './sizing.js';
+import { divideMemory } from './sizing.js';
 import { loadSettings, SettingsError, type Settings } from './settings.js';
 import packageJson from '../package.json' with { type: 'json' };
 
-const EXIT_SETTINGS = 2;
-const EXIT_LISTEN = 3;
+const EXIT_INVALID_SETTINGS = 2;
+const EXIT_CANNOT_LISTEN = 3;
 
 function memoryUsedBytes(): number {
   const { heapTotal, external } = process.memoryUsage();
   return heapTotal + external;
 }
 
-async function run(settings: Settings): Promise<void> {
+async function runController(settings: Settings): Promise<void> {
   const log = pino(
     { level: process.env.LOG_LEVEL || 'info', base: { member: settings.member } },
     destination({ fd: 2, sync: true }),
   );
   const clock = systemClock;
-  const memory = shareMemory(settings.memoryBytes, settings.peers.length);
-  const generator = xoroshiro128plus((Date.now() ^ (process.pid << 16)) | 0);
+  const memoryLimits = divideMemory(settings.memoryBytes, settings.peers.length);
+  const randomGenerator = xoroshiro128plus((Date.now() ^ (process.pid << 16)) | 0);
   const peers = new TcpPeerTransport({
     member: settings.member,
     peers: settings.peers,
-    maxBufferedBytes: memory.perPeer,
+    maxBufferedBytes: memoryLimits.maxPeerBufferBytes,
     clock,
     log,
   });
   const controller = new Controller({
     settings,
     clock,
-    // The steady clock of a process begins with it.
+    // The steady clock starts at 0 together with the process.
     processStartMs: 0,
     memoryUsedBytes,
-    random: () => uniformFloat64(generator),
-    httpClient: new SocketCaller(clock, POOL_SIZE, Infinity, memory.perAnswer),
+    random: () => uniformFloat64(randomGenerator),
+    httpClient: new SocketCaller(clock, POOL_SIZE, Infinity, memoryLimits.maxResponseBytes),
     workerHttpClient: new SocketCaller(clock, 1, settings.sockets.forCommands),
     peers,
     log,
   });
-  // A controller never ends by itself: what fails is given up and rebuilt from the state service.
+  // A controller does not exit after an unexpected error. After an uncaught exception it resigns, and the next leader
+  // rebuilds its state from the state store.
   process.on('uncaughtException', (error) => {
-    log.error({ err: error }, 'unexpected error');
+    log.error({ err: error }, 'uncaught exception; resigning leadership');
     controller.resignLeadership();
   });
-  process.on('unhandledRejection', (error) => log.error({ err: error }, 'unexpected rejection'));
+  process.on('unhandledRejection', (error) => log.error({ err: error }, 'unhandled promise rejection'));
   try {
     await peers.listen(settings.peerAddress);
     await serveHttp(
@@ -64,8 +66,8 @@
       log,
     );
   } catch (error) {
-    log.error({ err: error }, 'cannot listen');
-    process.exit(EXIT_LISTEN);
+    log.error({ err: error }, 'cannot listen on the public or the peer address');
+    process.exit(EXIT_CANNOT_LISTEN);
   }
   controller.start();
   for (const warning of settingsWarnings(settings)) log.warn(warning);
@@ -91,9 +93,9 @@
     } catch (error) {
       if (!(error instanceof SettingsError)) throw error;
       process.stderr.write(`pumicehinge-controller: ${error.message}\n`);
-      process.exit(EXIT_SETTINGS);
+      process.exit(EXIT_INVALID_SETTINGS);
     }
-    await run(settings);
+    await runController(settings);
   });
 
 void program.parseAsync();
--- a/src/memory-guard.ts
+++ b/src/memory-guard.ts
@@ -1,17 +1,17 @@
-/** Watches the memory in use, so that user requests are rejected before the process is killed for want of memory. */
+/** Monitors the memory usage, so that user requests are rejected before the process is killed because it ran out of memory. */
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
 import { MEMORY_CHECK_INTERVAL_MS, MEMORY_RECOVERED_RATIO } from './constants.js';
 
-/** Tells whether memory is short. Each change is logged once. */
+/** Detects memory pressure. Its start and its end are each logged once. */
 export class MemoryGuard {
   private underPressure = false;
 
   constructor(
     private readonly clock: Clock,
-    /** Bytes of heap and buffers in use. */
-    private readonly usedBytes: () => number,
-    /** Bytes above which there is pressure; it ends only at a ratio of them. */
+    /** Returns how many bytes of heap and buffers are in use. */
+    private readonly measureUsedBytes: () => number,
+    /** Memory pressure starts above this limit in bytes. It ends at `MEMORY_RECOVERED_RATIO` times the limit. */
     private readonly limitBytes: number,
     private readonly log: Logger,
   ) {}
@@ -21,14 +21,14 @@
     return this.underPressure;
   }
 
-  /** Checks the memory now and at each interval. */
+  /** Checks the memory usage now and then periodically. */
   start(): void {
-    this.check();
+    this.updatePressure();
     this.clock.after(MEMORY_CHECK_INTERVAL_MS, () => this.start());
   }
 
-  private check(): void {
-    const usedBytes = this.usedBytes();
+  private updatePressure(): void {
+    const usedBytes = this.measureUsedBytes();
     const limitBytes = this.underPressure ? this.limitBytes * MEMORY_RECOVERED_RATIO : this.limitBytes;
     const underPressure = usedBytes > limitBytes;
     if (underPressure === this.underPressure) return;
--- a/src/schema-options.ts
+++ b/src/schema-options.ts
@@ -1,2 +1,2 @@
-/** How ajv compiles the schemas, at run time and in the build alike. */
+/** The options with which ajv compiles the schemas, both at run time and in the build. */
 export const AJV_OPTIONS = { useDefaults: true, strict: false, logger: false } as const;
--- a/src/schema-validators.ts
+++ b/src/schema-validators.ts
@@ -1,6 +1,6 @@
 /**
- * Validators of the settings files. The build replaces this module by code that ajv generated from the same schemas
- * beforehand (scripts/build.mjs): compiling them costs more processor time than the rest of the start.
+ * Validators of the settings files. The build (scripts/build.mjs) replaces this module with code that ajv generates from the
+ * same schemas, because compiling the schemas takes more processor time than the rest of the start.
  */
 import { Ajv, type ValidateFunction } from 'ajv';
 import operatorSchema from '../schema/operator.schema.json' with { type: 'json' };
@@ -9,8 +9,8 @@
 
 const ajv = new Ajv(AJV_OPTIONS);
 
-/** Checks the settings that the platform hands over, and fills in defaults. */
+/** Validates the settings that the platform provides, and fills in defaults. */
 export const validatePlatform: ValidateFunction = ajv.compile(platformSchema);
 
-/** Checks the operators' own settings, and fills in defaults. */
+/** Validates the settings that operators provide, and fills in defaults. */
 export const validateOperator: ValidateFunction = ajv.compile(operatorSchema);
--- a/src/settings-warnings.ts
+++ b/src/settings-warnings.ts
@@ -1,3 +1,4 @@
+/** Warnings about settings that are valid but too low. */
 import {
   FEWEST_CLIENT_SOCKETS,
   CANCELLATION_MARGIN_MS,
@@ -16,59 +17,71 @@
 } from './constants.js';
 import type { Settings } from './settings.js';
 
-const atLeast = (setting: string, value: number, least: number, why: string): string[] =>
-  value < least ? [`${setting} is ${value}, needed are ${least}: ${why}`] : [];
+/** Returns a warning if a setting is below the required minimum, and nothing otherwise. */
+const checkMinimum = (setting: string, value: number, minimum: number, reason: string): string[] =>
+  value < minimum ? [`${setting} is ${value}, but at least ${minimum} is needed: ${reason}`] : [];
 
+/** Rounds up to two decimal places. */
 const roundUp = (value: number): number => Math.ceil(value * 100) / 100;
 
 /**
- * Settings that make sense and under which the service starts, but can't hold what it promises: one line each, which
- * names the setting, its value and the least that is needed. Pure.
+ * Warns about settings with which the service starts but cannot keep its guarantees. Each warning is one line with the name
+ * of the setting, its value and the required minimum. This function is pure.
  */
 export function settingsWarnings(settings: Settings): string[] {
   const { controllers, state, cloud, sockets, leaseS, reportS, cancelS, memoryBytes } = settings;
-  const followersPart = (STATE_RATE_SHARE * (1 - LEADER_REQUEST_SHARE)) / controllers;
-  const leadersPart = STATE_RATE_SHARE * ((1 - LEADER_WRITE_SHARE) / controllers + LEADER_WRITE_SHARE);
-  const watchS = (WATCH_WAIT_MS + WATCH_GRACE_MS + CANCELLATION_MARGIN_MS) / 1000;
+  const followerRequestShare = (STATE_RATE_SHARE * (1 - LEADER_REQUEST_SHARE)) / controllers;
+  const leaderWriteShare = STATE_RATE_SHARE * ((1 - LEADER_WRITE_SHARE) / controllers + LEADER_WRITE_SHARE);
+  const maxWatchDelayS = (WATCH_WAIT_MS + WATCH_GRACE_MS + CANCELLATION_MARGIN_MS) / 1000;
   return [
-    ...atLeast(
+    ...checkMinimum(
       'state.rps',
       state.rps,
-      roundUp(LEAST_FOLLOWER_RPS / followersPart),
-      'each controller watches, and reads for users',
+      roundUp(LEAST_FOLLOWER_RPS / followerRequestShare),
+      'each controller watches the state store and reads from it for users',
     ),
-    ...atLeast(
+    ...checkMinimum(
       'state.write_rps',
       state.writesPerS,
-      roundUp(LEAST_LEADER_WRITES / leadersPart),
-      'the leader writes jobs and machines',
+      roundUp(LEAST_LEADER_WRITES / leaderWriteShare),
+      'the leader writes the records of jobs and machines',
     ),
-    ...atLeast(
+    ...checkMinimum(
       'state.value_kb',
       state.valueBytes / 1024,
       LEAST_VALUE_BYTES / 1024,
-      'records of machines and jobs',
+      'the records of machines and jobs must fit into a value',
     ),
-    ...atLeast('state.txn_ops', state.txnOps, LEAST_TXN_OPS, 'jobs with many finished tasks'),
-    ...atLeast('cloud.rps', cloud.rps, LEAST_CLOUD_RPS, 'renting, returning and reading the list'),
-    ...atLeast(
+    ...checkMinimum(
+      'state.txn_ops',
+      state.txnOps,
+      LEAST_TXN_OPS,
+      'a job with many finished tasks needs several writes in one transaction',
+    ),
+    ...checkMinimum('cloud.rps', cloud.rps, LEAST_CLOUD_RPS, 'machines are rented, returned and listed'),
+    ...checkMinimum(
       'quota.max_connections (for clients)',
       sockets.forClients,
       FEWEST_CLIENT_SOCKETS,
-      'workers, users and health checks',
+      'workers, users and health checks need connections',
     ),
-    ...atLeast(
+    ...checkMinimum(
       'quota.mem_mb',
       memoryBytes / 2 ** 20,
       (PROCESS_BASE_BYTES / 2 ** 20) * 2,
-      'the runtime takes half of it',
+      'the runtime uses half of it',
+    ),
+    ...checkMinimum(
+      'workers.lease_s',
+      leaseS,
+      REPORTS_PER_LEASE * reportS,
+      'a lease must outlast lost heartbeats',
     ),
-    ...atLeast('workers.lease_s', leaseS, REPORTS_PER_LEASE * reportS, 'a lease must outlast lost reports'),
-    ...atLeast(
+    ...checkMinimum(
       'workers.cancel_s',
       cancelS,
-      roundUp(leaseS + watchS + reportS),
-      'cancelled tasks end with their lease in an outage',
+      roundUp(leaseS + maxWatchDelayS + reportS),
+      'in an outage, cancelled tasks run until their lease expires',
     ),
   ];
 }
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -1,3 +1,4 @@
+/** Loads and validates the settings files of the platform and of the operators. */
 import type { ValidateFunction } from 'ajv';
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
@@ -9,41 +10,60 @@
 import { shareSockets, type SocketShares } from './sizing.js';
 import { validateOperator, validatePlatform } from './schema-validators.js';
 
+/** The settings of a controller. Addresses are written as "ip:port". */
 export interface Settings {
+  /** Name of this controller. */
   member: string;
+  /** Zone of this controller. */
   zone: string;
+  /** Address on which this controller listens for users and workers. */
   publicAddress: string;
+  /** Address on which this controller listens for other controllers. */
   peerAddress: string;
+  /** The other controllers. */
   peers: Peer[];
   cloudAddress: string;
+  /** Address of the state store. */
   stateAddress: string;
+  /** Number of controllers in the deployment. */
   controllers: number;
+  /** Zones of the deployment. */
   zones: string[];
   teams: TeamQuota[];
+  /** Service-level objectives for the share of jobs that meet their deadlines, by job class. */
   objectives: DeadlineObjective[];
+  /** Service-level objectives for the time until tasks start, by job class. */
   startObjectives: StartObjective[];
+  /** Seconds between two heartbeats of a worker. */
   reportS: number;
+  /** Seconds for which the lease of a worker lasts after it was renewed. */
   leaseS: number;
+  /** Seconds within which the tasks of a cancelled job must have ended. */
   cancelS: number;
-  /** The tighter of the limits of now and of those announced: what is written must fit both. */
+  /**
+   * Limits of the state store. Each one is the lower of the current limit and the announced limit, because what is written
+   * must fit both.
+   */
   state: { rps: number; writesPerS: number; valueBytes: number; txnOps: number };
+  /** Limit of the requests per second to the cloud, and the seconds by which its list of machines may be out of date. */
   cloud: { rps: number; listLagS: number };
   sockets: SocketShares;
-  /** Bytes that a process may take. */
+  /** Bytes of memory that this process may use. */
   memoryBytes: number;
   operator: OperatorSettings;
 }
 
-/** Operators' own settings; the schema explains each. */
+/** Settings that operators provide. The schema describes each of them. */
 export interface OperatorSettings {
   idleKeepS: number;
   useSpot: boolean;
   duties: { enabled: boolean };
 }
 
-/** A settings file that can't be used; the message is one line for the operator. */
+/** A settings file that is missing or invalid. The message is one line for the operator. */
 export class SettingsError extends Error {}
 
+/** Limits of the state store as they stand in the settings file of the platform. */
 interface StateLimitsFile {
   rps: number;
   write_rps: number;
@@ -51,6 +71,7 @@
   txn_ops: number;
 }
 
+/** The settings file of the platform. Its schema is schema/platform.schema.json. */
 interface PlatformFile {
   member: string;
   domain: string;
@@ -70,13 +91,16 @@
   };
 }
 
-function check<T>(validate: ValidateFunction, value: unknown, file: string): T {
+/** Validates the content of a settings file and fills in defaults. */
+function validateSettings<T>(validate: ValidateFunction, value: unknown, file: string): T {
   if (validate(value)) return value as T;
-  const first = validate.errors?.[0];
-  throw new SettingsError(`${file}: ${first?.instancePath || '/'} ${first?.message ?? 'is not valid'}`);
+  const firstError = validate.errors?.[0];
+  throw new SettingsError(
+    `${file}: ${firstError?.instancePath || '/'} ${firstError?.message ?? 'is not valid'}`,
+  );
 }
 
-function read(file: string): string {
+function readSettingsFile(file: string): string {
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
@@ -84,59 +108,76 @@
   }
 }
 
-function parsed(file: string, parser: (text: string) => unknown): unknown {
-  const text = read(file);
+function parseSettingsFile(file: string, parseText: (text: string) => unknown): unknown {
+  const text = readSettingsFile(file);
   try {
-    return parser(text);
+    return parseText(text);
   } catch (error) {
     throw new SettingsError(`${file}: ${String((error as Error).message).split('\n')[0]}`);
   }
 }
 
+/** Loads the settings from the files of the platform and the operators. Throws a `SettingsError` if one is unusable. */
 export function loadSettings(platformPath: string, operatorPath?: string): Settings {
-  const file = check<PlatformFile>(validatePlatform, parsed(platformPath, parse), platformPath);
-  const own = operatorPath === undefined ? {} : parsed(operatorPath, JSON.parse);
-  const operator = check<OperatorSettings>(validateOperator, own, operatorPath ?? 'operator settings');
-  const d = file.deployment;
-  const tighter = (limit: keyof StateLimitsFile): number =>
-    Math.min(d.state[limit], d.state.next?.[limit] ?? Infinity);
+  const platform = validateSettings<PlatformFile>(
+    validatePlatform,
+    parseSettingsFile(platformPath, parse),
+    platformPath,
+  );
+  const operatorInput = operatorPath === undefined ? {} : parseSettingsFile(operatorPath, JSON.parse);
+  const operator = validateSettings<OperatorSettings>(
+    validateOperator,
+    operatorInput,
+    operatorPath ?? 'operator settings',
+  );
+  const deployment = platform.deployment;
+  /** Returns the lower of the current and the announced limit. */
+  const tightestLimit = (limit: keyof StateLimitsFile): number =>
+    Math.min(deployment.state[limit], deployment.state.next?.[limit] ?? Infinity);
   return {
-    member: file.member,
-    zone: file.domain,
-    publicAddress: file.public_addr,
-    peerAddress: file.cluster_listen,
-    peers: (file.seeds ?? [])
-      .filter((seed) => seed.member !== file.member)
+    member: platform.member,
+    zone: platform.domain,
+    publicAddress: platform.public_addr,
+    peerAddress: platform.cluster_listen,
+    peers: (platform.seeds ?? [])
+      .filter((seed) => seed.member !== platform.member)
       .map((seed) => ({ member: seed.member, zone: seed.domain, address: seed.address })),
-    cloudAddress: file.endpoints.cloud,
-    stateAddress: file.endpoints.state,
-    controllers: d.count,
-    zones: d.zones,
-    teams: (d.teams ?? []).map((team) => ({
+    cloudAddress: platform.endpoints.cloud,
+    stateAddress: platform.endpoints.state,
+    controllers: deployment.count,
+    zones: deployment.zones,
+    teams: (deployment.teams ?? []).map((team) => ({
       name: team.name,
       guaranteedCpus: team.cpus,
       cpuLimit: team.cpus_max,
       guaranteedAccelerators: team.gpus,
       acceleratorLimit: team.gpus_max,
     })),
-    objectives: (d.objectives ?? [])
-      .filter((o) => o.kind === 'deadline' && o.class !== undefined)
-      .map((o) => ({ jobClass: o.class!, share: o.share ?? 1, deadlineFactor: o.times ?? 1 })),
-    startObjectives: (d.objectives ?? [])
-      .filter((o) => o.kind === 'wait' && o.class !== undefined && o.within_s !== undefined)
-      .map((o) => ({ jobClass: o.class!, withinS: o.within_s! })),
-    reportS: d.workers.report_s,
-    leaseS: d.workers.lease_s,
-    cancelS: d.workers.cancel_s,
+    objectives: (deployment.objectives ?? [])
+      .filter((objective) => objective.kind === 'deadline' && objective.class !== undefined)
+      .map((objective) => ({
+        jobClass: objective.class!,
+        share: objective.share ?? 1,
+        deadlineFactor: objective.times ?? 1,
+      })),
+    startObjectives: (deployment.objectives ?? [])
+      .filter(
+        (objective) =>
+          objective.kind === 'wait' && objective.class !== undefined && objective.within_s !== undefined,
+      )
+      .map((objective) => ({ jobClass: objective.class!, withinS: objective.within_s! })),
+    reportS: deployment.workers.report_s,
+    leaseS: deployment.workers.lease_s,
+    cancelS: deployment.workers.cancel_s,
     state: {
-      rps: tighter('rps'),
-      writesPerS: tighter('write_rps'),
-      valueBytes: Math.floor(tighter('value_kb') * 1024),
-      txnOps: tighter('txn_ops'),
+      rps: tightestLimit('rps'),
+      writesPerS: tightestLimit('write_rps'),
+      valueBytes: Math.floor(tightestLimit('value_kb') * 1024),
+      txnOps: tightestLimit('txn_ops'),
     },
-    cloud: { rps: d.cloud.rps, listLagS: d.cloud.list_lag_s },
-    sockets: shareSockets(d.quota.max_connections),
-    memoryBytes: (d.quota.mem_mb ?? DEFAULT_MEMORY_MB) * 1024 * 1024,
+    cloud: { rps: deployment.cloud.rps, listLagS: deployment.cloud.list_lag_s },
+    sockets: shareSockets(deployment.quota.max_connections),
+    memoryBytes: (deployment.quota.mem_mb ?? DEFAULT_MEMORY_MB) * 1024 * 1024,
     operator,
   };
 }
--- a/src/sizing.ts
+++ b/src/sizing.ts
@@ -1,3 +1,4 @@
+/** Derives the limits of a controller from its size, which the settings give. All functions are pure. */
 import {
   ANSWER_MEMORY_SHARE,
   MAX_ANSWER_BYTES,
@@ -11,40 +12,44 @@
   WORKER_CALL_SHARE,
 } from './constants.js';
 
-/** Limits that follow from the size of a controller, as its settings tell it. Pure. */
-
-/** How a controller's sockets are shared out. */
+/** How the sockets of a controller are divided. */
 export interface SocketShares {
-  /** Connections of users and workers to us. */
+  /** Limit of the connections from users and workers. */
   forClients: number;
-  /** Our connections to workers, for commands that don't wait for a report. */
+  /** Limit of the connections to workers for commands that are sent without waiting for the next heartbeat. */
   forCommands: number;
 }
 
-/** Keeps some sockets for our own calls and the peers; of a controller with few sockets not all of them. */
+/**
+ * Divides the sockets of a controller. Some are reserved for its calls to other services and for its peers, but if there are
+ * few sockets, only a limited share of them.
+ */
 export function shareSockets(maxConnections: number): SocketShares {
-  const reserved = Math.min(RESERVED_SOCKETS, Math.ceil(maxConnections * RESERVED_SOCKETS_SHARE));
+  const reservedSockets = Math.min(RESERVED_SOCKETS, Math.ceil(maxConnections * RESERVED_SOCKETS_SHARE));
   const forCommands = Math.ceil(maxConnections * WORKER_CALL_SHARE);
-  return { forClients: Math.max(1, maxConnections - reserved - forCommands), forCommands };
+  return { forClients: Math.max(1, maxConnections - reservedSockets - forCommands), forCommands };
 }
 
-/** How a controller's memory is shared out; in bytes. */
-export interface MemoryShares {
-  /** Heap and buffers together above which users are turned away. */
-  shedAbove: number;
-  /** One answer of an outside service; what is larger is read in pages. */
-  perAnswer: number;
-  /** What may wait to be sent to one peer. */
-  perPeer: number;
+/** How the memory of a controller is divided. */
+export interface MemoryLimits {
+  /** User requests are rejected while heap and buffers together exceed this size. */
+  rejectUsersAboveBytes: number;
+  /** Size limit of one response from the state store or the cloud. Larger results are read in pages. */
+  maxResponseBytes: number;
+  /** Size limit of the data that waits to be sent to one peer. */
+  maxPeerBufferBytes: number;
 }
 
-/** Shares out what a process may take beyond the runtime itself, whose size does not depend on us. */
-export function shareMemory(memoryBytes: number, peers: number): MemoryShares {
-  const data = Math.max(memoryBytes - PROCESS_BASE_BYTES, memoryBytes / 4);
-  const answer = Math.floor(data * ANSWER_MEMORY_SHARE);
+/** Divides the memory that remains for data beside the runtime itself, whose size this program cannot influence. */
+export function divideMemory(memoryBytes: number, peerCount: number): MemoryLimits {
+  const dataBytes = Math.max(memoryBytes - PROCESS_BASE_BYTES, memoryBytes / 4);
+  const responseShareBytes = Math.floor(dataBytes * ANSWER_MEMORY_SHARE);
   return {
-    shedAbove: Math.floor(data * MEMORY_SHORT_SHARE),
-    perAnswer: Math.min(MAX_ANSWER_BYTES, Math.max(MIN_ANSWER_BYTES, answer)),
-    perPeer: Math.max(MAX_PEER_FRAME_BYTES, Math.floor((data * PEER_MEMORY_SHARE) / Math.max(1, peers))),
+    rejectUsersAboveBytes: Math.floor(dataBytes * MEMORY_SHORT_SHARE),
+    maxResponseBytes: Math.min(MAX_ANSWER_BYTES, Math.max(MIN_ANSWER_BYTES, responseShareBytes)),
+    maxPeerBufferBytes: Math.max(
+      MAX_PEER_FRAME_BYTES,
+      Math.floor((dataBytes * PEER_MEMORY_SHARE) / Math.max(1, peerCount)),
+    ),
   };
 }
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -17,7 +17,7 @@
 import { CompletionBitmap } from '../src/state/completion-bitmap.js';
 import { jobSpec, SETTINGS } from './fixtures.js';
 
-const SUBMISSION = {
+const VALID_SUBMISSION = {
   uid: 'job-000412',
   cohort: 'train',
   crew: 'vision',
@@ -40,44 +40,44 @@
   dueS: 900.0,
 };
 
-test('submissions: valid ones, and each kind of mistake', () => {
-  const { builds: _b, yard: _y, dueS: _d, ...without } = SUBMISSION;
-  const after = (awaits: unknown): unknown => ({ ...SUBMISSION, awaits });
-  for (const good of [
-    SUBMISSION,
-    without,
-    { ...SUBMISSION, extra: 1 },
-    { ...SUBMISSION, dueS: null },
-    after([]),
+test('submissions: valid ones are decoded, and each kind of mistake is rejected', () => {
+  const { builds: _b, yard: _y, dueS: _d, ...requiredFields } = VALID_SUBMISSION;
+  const withDependencies = (awaits: unknown): unknown => ({ ...VALID_SUBMISSION, awaits });
+  for (const valid of [
+    VALID_SUBMISSION,
+    requiredFields,
+    { ...VALID_SUBMISSION, extra: 1 },
+    { ...VALID_SUBMISSION, dueS: null },
+    withDependencies([]),
   ])
-    assert.equal(typeof decodeSubmission(JSON.stringify(good)), 'object');
-  const bad: unknown[] = [
-    ...Object.keys(without).map((field) => ({ ...SUBMISSION, [field]: undefined })),
-    { ...SUBMISSION, uid: 'job 1' },
-    { ...SUBMISSION, uid: 7 },
-    { ...SUBMISSION, shape: 'round' },
-    { ...SUBMISSION, rank: 'toString' },
-    { ...SUBMISSION, pieces: 0 },
-    { ...SUBMISSION, pieces: 1.5 },
-    { ...SUBMISSION, pieces: MAX_TASKS + 1 },
-    { ...SUBMISSION, cpus: -1 },
-    { ...SUBMISSION, cpus: '8' },
-    { ...SUBMISSION, builds: [] },
-    { ...SUBMISSION, builds: 'g8' },
-    { ...SUBMISSION, oneZone: 1 },
-    ...['job-1', 7, {}, ['x'], [1], [null], ['job-1', 'job-']].map(after),
+    assert.equal(typeof decodeSubmission(JSON.stringify(valid)), 'object');
+  const invalidSubmissions: unknown[] = [
+    ...Object.keys(requiredFields).map((field) => ({ ...VALID_SUBMISSION, [field]: undefined })),
+    { ...VALID_SUBMISSION, uid: 'job 1' },
+    { ...VALID_SUBMISSION, uid: 7 },
+    { ...VALID_SUBMISSION, shape: 'round' },
+    { ...VALID_SUBMISSION, rank: 'toString' },
+    { ...VALID_SUBMISSION, pieces: 0 },
+    { ...VALID_SUBMISSION, pieces: 1.5 },
+    { ...VALID_SUBMISSION, pieces: MAX_TASKS + 1 },
+    { ...VALID_SUBMISSION, cpus: -1 },
+    { ...VALID_SUBMISSION, cpus: '8' },
+    { ...VALID_SUBMISSION, builds: [] },
+    { ...VALID_SUBMISSION, builds: 'g8' },
+    { ...VALID_SUBMISSION, oneZone: 1 },
+    ...['job-1', 7, {}, ['x'], [1], [null], ['job-1', 'job-']].map(withDependencies),
     [],
     null,
     7,
   ];
-  for (const value of bad)
+  for (const value of invalidSubmissions)
     assert.throws(
       () => decodeSubmission(JSON.stringify(value)),
       MalformedSubmissionError,
       JSON.stringify(value),
     );
   assert.throws(() => decodeSubmission('{'), { name: 'MalformedSubmissionError', message: 'not JSON' });
-  const cases: [awaits: unknown, dependencies: string[] | undefined][] = [
+  const dependencyCases: [awaits: unknown, dependencies: string[] | undefined][] = [
     [undefined, undefined],
     [null, undefined],
     [[], undefined],
@@ -86,54 +86,61 @@
       ['job-2', 'job-1'],
     ],
   ];
-  for (const [awaits, dependencies] of cases) {
-    const spec = decodeSubmission(JSON.stringify(after(awaits)));
+  for (const [awaits, dependencies] of dependencyCases) {
+    const spec = decodeSubmission(JSON.stringify(withDependencies(awaits)));
     assert.ok(typeof spec !== 'string');
     assert.deepEqual(spec.dependencies, dependencies);
   }
 });
 
-test('finished tasks of the largest job fit the values of the state service', () => {
-  const done = new CompletionBitmap(MAX_TASKS);
-  for (let task = 0; task < MAX_TASKS; task += 1 + (task % 3)) done.add(task);
-  const read = new CompletionBitmap(MAX_TASKS);
-  for (let chunk = 0; chunk < completionSegmentCount(MAX_TASKS); chunk++) {
-    const text = encodeCompletionSegment(done, chunk);
+test('the finished tasks of the largest job fit into values of the state store', () => {
+  const bitmap = new CompletionBitmap(MAX_TASKS);
+  for (let task = 0; task < MAX_TASKS; task += 1 + (task % 3)) bitmap.add(task);
+  const decodedBitmap = new CompletionBitmap(MAX_TASKS);
+  for (let segment = 0; segment < completionSegmentCount(MAX_TASKS); segment++) {
+    const text = encodeCompletionSegment(bitmap, segment);
     assert.ok(text.length < 4096);
-    decodeCompletionSegment(read, chunk, text);
+    decodeCompletionSegment(decodedBitmap, segment, text);
   }
-  assert.equal(read.completedCount, done.completedCount);
-  for (const task of [0, 1, 2, 8191, 8192, MAX_TASKS - 1]) assert.equal(read.has(task), done.has(task));
-  assert.equal(done.add(MAX_TASKS), false);
+  assert.equal(decodedBitmap.completedCount, bitmap.completedCount);
+  for (const task of [0, 1, 2, 8191, 8192, MAX_TASKS - 1])
+    assert.equal(decodedBitmap.has(task), bitmap.has(task));
+  assert.equal(bitmap.add(MAX_TASKS), false);
 });
 
-test('settings: read, with defaults, and each mistake told in one line', () => {
+test('settings: files are read with defaults, and each mistake is reported in one line', () => {
   const folder = mkdtempSync(join(tmpdir(), 'settings-'));
-  const file = join(folder, 's.toml');
-  const own = join(folder, 'o.json');
-  const load = (text: string, operator?: string) => {
-    writeFileSync(file, text);
-    if (operator === undefined) return loadSettings(file);
-    writeFileSync(own, operator);
-    return loadSettings(file, own);
+  const platformFile = join(folder, 's.toml');
+  const operatorFile = join(folder, 'o.json');
+  const loadSettingsFrom = (text: string, operator?: string) => {
+    writeFileSync(platformFile, text);
+    if (operator === undefined) return loadSettings(platformFile);
+    writeFileSync(operatorFile, operator);
+    return loadSettings(platformFile, operatorFile);
   };
-  const settings = load(SETTINGS, '{"idleKeepS": 7}');
+  const settings = loadSettingsFrom(SETTINGS, '{"idleKeepS": 7}');
   assert.deepEqual(settings.peers, [{ member: 'b', zone: 'z', address: '127.0.0.1:82' }]);
   assert.equal(settings.teams[0]!.acceleratorLimit, 0);
   assert.equal(settings.operator.idleKeepS, 7);
   assert.equal(settings.operator.useSpot, true);
-  // Limits that are announced count at once where they are tighter.
+  // An announced limit applies at once if it is lower than the current limit.
   const announced = `${SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
-  const { state } = load(announced);
+  const { state } = loadSettingsFrom(announced);
   assert.deepEqual(state, { ...settings.state, writesPerS: 7, valueBytes: 2048 });
-  for (const wrong of ['txn_ops = 0', 'txn_ops = 2.5', 'value_kb = 0.1', 'write_rps = -1', 'rps = "many"'])
+  for (const invalidLimit of [
+    'txn_ops = 0',
+    'txn_ops = 2.5',
+    'value_kb = 0.1',
+    'write_rps = -1',
+    'rps = "many"',
+  ])
     assert.throws(
-      () => load(`${SETTINGS}\n[deployment.state.next]\n${wrong}\n`),
+      () => loadSettingsFrom(`${SETTINGS}\n[deployment.state.next]\n${invalidLimit}\n`),
       (error) =>
         error instanceof SettingsError && /next/.test(error.message) && !error.message.includes('\n'),
-      wrong,
+      invalidLimit,
     );
-  const bad: [text: string, operator: string | undefined, message: RegExp][] = [
+  const invalidFiles: [text: string, operator: string | undefined, message: RegExp][] = [
     ['member = ', undefined, /s\.toml: /],
     [SETTINGS.replace('member = "a"', ''), undefined, /member/],
     [SETTINGS.replace('127.0.0.1:80', 'nowhere'), undefined, /public_addr/],
@@ -142,9 +149,9 @@
     [SETTINGS, '{"other": 1}', /additional/],
     [SETTINGS, '{', /o\.json/],
   ];
-  for (const [text, operator, message] of bad)
+  for (const [text, operator, message] of invalidFiles)
     assert.throws(
-      () => load(text, operator),
+      () => loadSettingsFrom(text, operator),
       (error: unknown) =>
         error instanceof SettingsError && message.test(error.message) && !error.message.includes('\n'),
     );
@@ -152,7 +159,7 @@
   rmSync(folder, { recursive: true });
 });
 
-test('stored values that are malformed or truncated are not believed', () => {
+test('malformed or truncated stored values are rejected', () => {
   const record = {
     phase: 'open' as const,
     tasks: 4,
@@ -164,11 +171,11 @@
   };
   const job = encodeJob(record) as Record<string, unknown>;
   assert.deepEqual(decodeJob(job), record);
-  // What another version adds stays, also when we write the value again.
+  // Fields that another version has added are kept when the value is written again.
   const storedSpec = job.s as Record<string, unknown>;
-  const more = { ...job, s: { ...storedSpec, later: ['x'] }, other: 1 };
-  assert.deepEqual((encodeJob(decodeJob(more)!) as typeof job).s, more.s);
-  const stored: unknown[] = [
+  const jobOfLaterVersion = { ...job, s: { ...storedSpec, later: ['x'] }, other: 1 };
+  assert.deepEqual((encodeJob(decodeJob(jobOfLaterVersion)!) as typeof job).s, jobOfLaterVersion.s);
+  const malformedJobs: unknown[] = [
     ...[undefined, null, 7, 'x', [], {}],
     ...[
       { ...job, p: 'z' },
@@ -192,8 +199,8 @@
       s,
     })),
   ];
-  for (const value of stored) assert.equal(decodeJob(value), undefined, JSON.stringify(value));
-  // Of a job that is over, the description may be gone.
+  for (const value of malformedJobs) assert.equal(decodeJob(value), undefined, JSON.stringify(value));
+  // The specification of a completed job may be missing.
   assert.equal(decodeJob({ ...job, p: 'd', s: undefined })?.phase, 'done');
   assert.deepEqual(decodeInstanceTypes([{ name: 'm', cpus: 'many' }, 3, null]), []);
   assert.deepEqual(decodeInstanceTypes({}), []);
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -15,60 +15,73 @@
 import { AnswerTooLargeError } from '../src/http/message.js';
 import { MemoryGuard } from '../src/memory-guard.js';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
-import { shareMemory, shareSockets } from '../src/sizing.js';
+import { divideMemory, shareSockets } from '../src/sizing.js';
 import { StateReplica } from '../src/state/state-replica.js';
 import { StoreClient } from '../src/state/store-client.js';
 
 const MB = 2 ** 20;
-const silent = pino({ level: 'silent' });
+const silentLog = pino({ level: 'silent' });
 
-test('sockets and memory are shared out by the size of a controller', () => {
-  const cases: [sockets: number, forClients: number, forCommands: number][] = [
+test('sockets and memory are divided according to the size of a controller', () => {
+  const socketCases: [sockets: number, forClients: number, forCommands: number][] = [
     [128, 76, 20],
     [900, 701, 135],
     [1743, 1417, 262],
     [6500, 5461, 975],
   ];
-  for (const [sockets, forClients, forCommands] of cases)
+  for (const [sockets, forClients, forCommands] of socketCases)
     assert.deepEqual(shareSockets(sockets), { forClients, forCommands }, `${sockets} sockets`);
-  const memory: [mb: number, peers: number, shedAboveMb: number, perAnswerMb: number, perPeerMb: number][] = [
+  const memoryCases: [
+    memoryMb: number,
+    peerCount: number,
+    rejectUsersAboveMb: number,
+    maxResponseMb: number,
+    maxPeerBufferMb: number,
+  ][] = [
     [108, 2, 49, 6, 2],
     [127, 6, 65, 8, 1],
     [250, 2, 170, 16, 6],
     [1000, 6, 808, 16, 10],
     [40, 2, 9, 1, 1],
   ];
-  for (const [mb, peers, ...expected] of memory) {
-    const { shedAbove, perAnswer, perPeer } = shareMemory(mb * MB, peers);
+  for (const [memoryMb, peerCount, ...expected] of memoryCases) {
+    const { rejectUsersAboveBytes, maxResponseBytes, maxPeerBufferBytes } = divideMemory(
+      memoryMb * MB,
+      peerCount,
+    );
     assert.deepEqual(
-      [shedAbove, perAnswer, perPeer].map((bytes) => Math.round(bytes / MB)),
+      [rejectUsersAboveBytes, maxResponseBytes, maxPeerBufferBytes].map((bytes) => Math.round(bytes / MB)),
       expected,
-      `${mb} MB`,
+      `${memoryMb} MB`,
     );
   }
 });
 
-// One table for what is written or asked about a whole fleet: none of it may take as long as a worker's lease.
-test('what a fleet costs in writes and requests fits the rates at every size', () => {
+// No write or request for a whole fleet may take as long as the lease of a worker.
+test('the writes and requests for a fleet of any size fit the rate limits', () => {
   const WRITES_PER_S = 50;
-  const CLOUD_PER_S = 5;
-  for (const machines of [500, 1500, 4000, 6000]) {
-    const groups = Math.ceil(machines / MAX_INSTANCES_PER_LAUNCH);
-    assert.ok(groups / WRITES_PER_S < 15, `${machines}: writing the records of all groups`);
-    const batches = Math.ceil(machines / DELEGATED_LEASES_PER_WRITE);
-    assert.ok(batches / WRITES_PER_S < 5, `${machines}: registering the machines of deputies`);
-    const pages = Math.ceil(machines / LIST_PAGE);
-    assert.ok(pages / CLOUD_PER_S < 5, `${machines}: reading the list`);
-    const rentals = Math.ceil(machines / MAX_INSTANCES_PER_LAUNCH);
-    assert.ok(rentals / CLOUD_PER_S < 45, `${machines}: renting all`);
-    // A group that changes all the time is written this often; together they must leave room for the jobs.
-    assert.ok(NODE_GROUP_WRITE_SPACING_MS >= 200, `${machines}: spacing of groups`);
-    assert.ok(shareSockets(machines).forClients * CROWDED_SHARE > machines / 2, `${machines}: sockets`);
+  const CLOUD_REQUESTS_PER_S = 5;
+  for (const machineCount of [500, 1500, 4000, 6000]) {
+    const nodeGroupCount = Math.ceil(machineCount / MAX_INSTANCES_PER_LAUNCH);
+    assert.ok(nodeGroupCount / WRITES_PER_S < 15, `${machineCount}: writing the records of all node groups`);
+    const leaseWriteCount = Math.ceil(machineCount / DELEGATED_LEASES_PER_WRITE);
+    assert.ok(leaseWriteCount / WRITES_PER_S < 5, `${machineCount}: registering the delegated leases`);
+    const pageCount = Math.ceil(machineCount / LIST_PAGE);
+    assert.ok(pageCount / CLOUD_REQUESTS_PER_S < 5, `${machineCount}: reading the instance list`);
+    const launchCount = Math.ceil(machineCount / MAX_INSTANCES_PER_LAUNCH);
+    assert.ok(launchCount / CLOUD_REQUESTS_PER_S < 45, `${machineCount}: renting all machines`);
+    // A node group that changes constantly is written at this interval. The writes of all node groups together must leave
+    // room for the writes of jobs.
+    assert.ok(NODE_GROUP_WRITE_SPACING_MS >= 200, `${machineCount}: spacing of the writes of a node group`);
+    assert.ok(
+      shareSockets(machineCount).forClients * CROWDED_SHARE > machineCount / 2,
+      `${machineCount}: sockets for clients`,
+    );
   }
 });
 
-test('settings under which promises cannot be held are named at the start, one line each', () => {
-  const good = {
+test('each setting that is too low for the guarantees of the service causes one warning', () => {
+  const sufficient = {
     controllers: 3,
     leaseS: 14,
     reportS: 1.5,
@@ -78,62 +91,63 @@
     sockets: shareSockets(900),
     memoryBytes: 108 * MB,
   } as Settings;
-  const cases: [changed: Partial<Settings>, warnings: RegExp[]][] = [
+  const warningCases: [changes: Partial<Settings>, warnings: RegExp[]][] = [
     [{}, []],
-    [{ state: { ...good.state, rps: 10 } }, [/^state.rps is 10, needed are 22.23: /]],
-    [{ controllers: 50 }, [/^state.rps is 200, needed are 370.38: /]],
-    [{ state: { ...good.state, writesPerS: 4 } }, [/^state.write_rps is 4, /]],
+    [{ state: { ...sufficient.state, rps: 10 } }, [/^state.rps is 10, but at least 22.23 is needed: /]],
+    [{ controllers: 50 }, [/^state.rps is 200, but at least 370.38 is needed: /]],
+    [{ state: { ...sufficient.state, writesPerS: 4 } }, [/^state.write_rps is 4, /]],
     [
-      { state: { ...good.state, valueBytes: 512, txnOps: 2 } },
+      { state: { ...sufficient.state, valueBytes: 512, txnOps: 2 } },
       [/^state.value_kb is 0.5/, /^state.txn_ops is 2/],
     ],
     [{ cloud: { rps: 0.5, listLagS: 5 } }, [/^cloud.rps is 0.5/]],
-    [{ sockets: shareSockets(128) }, [/max_connections \(for clients\) is 76, needed are 100/]],
-    [{ memoryBytes: 64 * MB }, [/^quota.mem_mb is 64, needed are 100/]],
-    [{ leaseS: 5 }, [/^workers.lease_s is 5, needed are 6/]],
-    [{ cancelS: 15 }, [/^workers.cancel_s is 15, needed are 20.5/]],
+    [{ sockets: shareSockets(128) }, [/max_connections \(for clients\) is 76, but at least 100 is needed/]],
+    [{ memoryBytes: 64 * MB }, [/^quota.mem_mb is 64, but at least 100 is needed/]],
+    [{ leaseS: 5 }, [/^workers.lease_s is 5, but at least 6 is needed/]],
+    [{ cancelS: 15 }, [/^workers.cancel_s is 15, but at least 20.5 is needed/]],
   ];
-  for (const [changed, expected] of cases) {
-    const warnings = settingsWarnings({ ...good, ...changed });
-    assert.equal(warnings.length, expected.length, warnings.join('\n'));
-    expected.forEach((pattern, i) => assert.match(warnings[i]!, pattern));
+  for (const [changes, patterns] of warningCases) {
+    const warnings = settingsWarnings({ ...sufficient, ...changes });
+    assert.equal(warnings.length, patterns.length, warnings.join('\n'));
+    patterns.forEach((pattern, i) => assert.match(warnings[i]!, pattern));
   }
 });
 
-test('users are turned away while memory is short, and taken again only once it has eased', async () => {
+test('user requests are rejected under memory pressure, and accepted again only once it has ended', async () => {
   const clock = new SimulatedClock();
-  let used = 10;
-  const guard = new MemoryGuard(clock, () => used, 100, silent);
+  let usedBytes = 10;
+  const guard = new MemoryGuard(clock, () => usedBytes, 100, silentLog);
   guard.start();
-  const steps: [used: number, isShort: boolean][] = [
+  const checks: [usedBytes: number, isUnderPressure: boolean][] = [
     [99, false],
     [101, true],
     [95, true],
     [89, false],
     [99, false],
   ];
-  for (const [i, [bytes, isShort]] of steps.entries()) {
-    used = bytes;
+  for (const [i, [bytes, isUnderPressure]] of checks.entries()) {
+    usedBytes = bytes;
     await clock.runUntil((i + 1) * 1000 + 1);
-    assert.equal(guard.isUnderPressure, isShort, `step ${i}`);
+    assert.equal(guard.isUnderPressure, isUnderPressure, `check ${i}`);
   }
 });
 
-// Thousands of changes of several KB each came with one answer, were refused as too large, and asked for again for ever.
-test('changes that are too many for one answer are read in pages', async () => {
+// Guards against an endless loop: thousands of changes of several KB each came in one response, which was rejected as too
+// large and requested again forever.
+test('changes that are too large for one response are read in pages', async () => {
   const clock = new SimulatedClock();
-  const asked: string[] = [];
-  let refuses = false;
+  const requestedTargets: string[] = [];
+  let isResponseTooLarge = false;
   const caller: HttpCaller = {
     call: (_address, _method, target) => {
-      asked.push(target);
+      requestedTargets.push(target);
       if (target.startsWith('/follow')) {
-        if (refuses) return Promise.reject(new AnswerTooLargeError('too large'));
+        if (isResponseTooLarge) return Promise.reject(new AnswerTooLargeError('too large'));
         return Promise.resolve({ status: 200, body: '{"epoch":1,"log":[]}' });
       }
-      const value = refuses ? 'new' : 'old';
+      const value = isResponseTooLarge ? 'new' : 'old';
       const body = JSON.stringify({ rows: [{ key: 'ph/j/a', v: value, stamp: 1 }], more: false, epoch: 1 });
-      refuses = false;
+      isResponseTooLarge = false;
       return Promise.resolve({ status: 200, body });
     },
   };
@@ -144,27 +158,28 @@
     limits: { rps: 100, writesPerS: 50, txnOps: 10 },
     controllerCount: 1,
   });
-  const mirror = new StateReplica(client, 'ph/', clock, silent);
-  void mirror.run();
+  const replica = new StateReplica(client, 'ph/', clock, silentLog);
+  void replica.run();
   await clock.runUntil(1000);
-  assert.equal(mirror.isLoaded, true);
-  refuses = true;
-  const pagesBefore = asked.filter((target) => target.startsWith('/keys')).length;
+  assert.equal(replica.isLoaded, true);
+  isResponseTooLarge = true;
+  const previousPageCount = requestedTargets.filter((target) => target.startsWith('/keys')).length;
   await clock.runUntil(3000);
-  assert.equal(mirror.isLoaded, true);
-  assert.equal(asked.filter((target) => target.startsWith('/keys')).length, pagesBefore + 1);
+  assert.equal(replica.isLoaded, true);
+  assert.equal(requestedTargets.filter((target) => target.startsWith('/keys')).length, previousPageCount + 1);
 });
 
-// The pages of a large fleet's list once went out at once, beyond the rate, and a refused page lost all before it.
-test('the list of a large fleet is read within its part of the rate, and renting goes on beside it', async () => {
-  const MACHINES = 6000;
-  const RPS = 7;
+// Guards against requesting all pages of a large list at once. That exceeded the rate limit, and a rejected page discarded
+// all pages before it.
+test('the instance list of a large fleet is read within its share of the request rate, while instances are rented', async () => {
+  const INSTANCE_COUNT = 6000;
+  const REQUESTS_PER_SECOND = 7;
   const clock = new SimulatedClock();
-  const seen: { atMs: number; target: string }[] = [];
-  const listed: number[] = [];
-  const name = (i: number): string => `vm-${String(i).padStart(6, '0')}`;
-  const host = (i: number) => ({
-    uid: name(i),
+  const requests: { atMs: number; target: string }[] = [];
+  const listSizes: number[] = [];
+  const instanceName = (i: number): string => `vm-${String(i).padStart(6, '0')}`;
+  const hostRow = (i: number) => ({
+    uid: instanceName(i),
     address: 'x:1',
     build: 'm',
     yard: 'z',
@@ -173,45 +188,55 @@
   });
   const caller: HttpCaller = {
     call: (_address, method, target) => {
-      seen.push({ atMs: clock.steadyMs(), target: `${method} ${target}` });
+      requests.push({ atMs: clock.steadyMs(), target: `${method} ${target}` });
       if (target === '/catalog') return Promise.resolve({ status: 200, body: '{"builds":[]}' });
       if (method === 'POST') return Promise.resolve({ status: 200, body: '{"hearths":[]}' });
-      const since = /since=vm-(\d+)/.exec(target);
-      const from = since ? Number(since[1]) + 1 : 0;
-      const rows = Array.from({ length: Math.min(LIST_PAGE, MACHINES - from) }, (_, i) => host(from + i));
+      const sinceMatch = /since=vm-(\d+)/.exec(target);
+      const firstIndex = sinceMatch ? Number(sinceMatch[1]) + 1 : 0;
+      const rows = Array.from({ length: Math.min(LIST_PAGE, INSTANCE_COUNT - firstIndex) }, (_, i) =>
+        hostRow(firstIndex + i),
+      );
       return Promise.resolve({
         status: 200,
-        body: JSON.stringify({ hearths: rows, more: from + rows.length < MACHINES }),
+        body: JSON.stringify({ hearths: rows, more: firstIndex + rows.length < INSTANCE_COUNT }),
       });
     },
   };
   const onEvent = (event: CloudEvent): void => {
-    if (event.kind === 'listed') listed.push(event.instances.length);
+    if (event.kind === 'listed') listSizes.push(event.instances.length);
   };
-  const cloud = new CloudClient({
+  const cloudClient = new CloudClient({
     caller,
     address: 'c:1',
-    rates: leaderCloudRates(RPS, false),
+    rates: leaderCloudRates(REQUESTS_PER_SECOND, false),
     clock,
     onEvent,
     mayCall: () => true,
-    log: silent,
+    log: silentLog,
     onFailure: () => undefined,
   });
-  cloud.send({ kind: 'tick' });
-  const SECONDS = 60;
-  for (let s = 0; s < SECONDS; s += 2) {
-    cloud.send({
+  cloudClient.send({ kind: 'tick' });
+  const DURATION_S = 60;
+  for (let elapsedS = 0; elapsedS < DURATION_S; elapsedS += 2) {
+    cloudClient.send({
       kind: 'launch',
-      request: { name: `r-${s}`, offering: { type: 'm', zone: 'z', spot: false }, count: 1 },
+      request: { name: `r-${elapsedS}`, offering: { type: 'm', zone: 'z', spot: false }, count: 1 },
     });
-    await clock.runUntil(s * 1000);
+    await clock.runUntil(elapsedS * 1000);
   }
-  await clock.runUntil(SECONDS * 1000);
-  assert.ok(listed.length >= 5 && listed.every((count) => count === MACHINES), `lists of ${listed.join()}`);
-  assert.equal(seen.filter(({ target }) => target === 'POST /hosts').length, SECONDS / 2);
-  for (let from = 0; from < SECONDS; from += 5) {
-    const calls = seen.filter(({ atMs }) => atMs >= from * 1000 && atMs < (from + 5) * 1000).length;
-    assert.ok(calls <= RPS * 6, `${calls} calls in the 5 s from ${from} s`);
+  await clock.runUntil(DURATION_S * 1000);
+  assert.ok(
+    listSizes.length >= 5 && listSizes.every((count) => count === INSTANCE_COUNT),
+    `list sizes: ${listSizes.join()}`,
+  );
+  assert.equal(requests.filter(({ target }) => target === 'POST /hosts').length, DURATION_S / 2);
+  for (let windowStartS = 0; windowStartS < DURATION_S; windowStartS += 5) {
+    const requestCount = requests.filter(
+      ({ atMs }) => atMs >= windowStartS * 1000 && atMs < (windowStartS + 5) * 1000,
+    ).length;
+    assert.ok(
+      requestCount <= REQUESTS_PER_SECOND * 6,
+      `${requestCount} calls in the 5 s after ${windowStartS} s`,
+    );
   }
 });
