--- a/src/state/key-value-index.ts
+++ b/src/state/key-value-index.ts
@@ -1,57 +1,65 @@
-/** The keys and values of a replica, by key and by kind of key. */
+/** The keys and values of a replica, indexed by key and by kind of key. */
 import type { KeyChange, KeyValue } from './key-value.js';
 
-/** The latest known value of each key. A change is applied only if it is newer than what is known of its key. */
+/**
+ * Holds the latest known value of each key. A change is applied only if it is newer than the known state of its key.
+ */
 export class KeyValueIndex {
-  private readonly byKey = new Map<string, KeyValue>();
-  /** The same by kind of key, as of some kinds there are thousands and of others a few. */
-  private readonly byKind = new Map<string, Map<string, KeyValue>>();
+  private readonly keyValuesByKey = new Map<string, KeyValue>();
+  /**
+   * The same entries by kind of key, so that a kind with few keys is listed without scanning the thousands of another.
+   */
+  private readonly keyValuesByKind = new Map<string, Map<string, KeyValue>>();
 
   /** The number of keys. */
   get size(): number {
-    return this.byKey.size;
+    return this.keyValuesByKey.size;
   }
 
-  /** The value of a key; undefined if there is no such key. */
+  /** Returns a key with its value, or undefined if there is no such key. */
   get(key: string): KeyValue | undefined {
-    return this.byKey.get(key);
+    return this.keyValuesByKey.get(key);
   }
 
-  /** All keys with their values, in the order in which they were first seen. */
+  /** Lists all keys with their values, in the order in which they were first seen. */
   entries(): Iterable<[key: string, keyValue: KeyValue]> {
-    return this.byKey.entries();
+    return this.keyValuesByKey.entries();
   }
 
-  /** All keys of one kind; `prefix` is the part of a key up to its second slash. */
+  /** Lists all keys of one kind. `prefix` is the part of a key up to its second slash. */
   listPrefix(prefix: string): Iterable<KeyValue> {
-    return this.byKind.get(prefix)?.values() ?? [];
+    return this.keyValuesByKind.get(prefix)?.values() ?? [];
   }
 
-  /** Applies a change; false if it changes nothing: it is older than what is known, or deletes a key that is not there. */
+  /**
+   * Applies a change. Returns false if it has no effect, because it is not newer than the known state or deletes an
+   * absent key.
+   */
   apply({ key, value, modRevision }: KeyChange): boolean {
-    const known = this.byKey.get(key);
+    const current = this.keyValuesByKey.get(key);
     const isDelete = value === undefined;
-    // A delete may bear the revision of the value that it deletes: a listing shows the absence of a key, not its time.
+    // A delete may have the same revision as the value that it deletes, because a listing shows that a key is absent
+    // but not when it was deleted.
     const isNewer =
-      !known || known.modRevision < modRevision || (known.modRevision === modRevision && isDelete);
+      !current || current.modRevision < modRevision || (current.modRevision === modRevision && isDelete);
     if (!isNewer) return false;
-    const sameKind = this.keysOfKind(kindOf(key));
+    const keysOfSameKind = this.getOrCreateKind(getKeyKind(key));
     if (isDelete) {
-      sameKind.delete(key);
-      return this.byKey.delete(key);
+      keysOfSameKind.delete(key);
+      return this.keyValuesByKey.delete(key);
     }
     const keyValue = { key, value, modRevision };
-    sameKind.set(key, keyValue);
-    this.byKey.set(key, keyValue);
+    keysOfSameKind.set(key, keyValue);
+    this.keyValuesByKey.set(key, keyValue);
     return true;
   }
 
-  private keysOfKind(kind: string): Map<string, KeyValue> {
-    let keys = this.byKind.get(kind);
-    if (!keys) this.byKind.set(kind, (keys = new Map<string, KeyValue>()));
+  private getOrCreateKind(kind: string): Map<string, KeyValue> {
+    let keys = this.keyValuesByKind.get(kind);
+    if (!keys) this.keyValuesByKind.set(kind, (keys = new Map<string, KeyValue>()));
     return keys;
   }
 }
 
-/** The part of a key up to its second slash; it says what the key is for. */
-const kindOf = (key: string): string => key.slice(0, key.indexOf('/', key.indexOf('/') + 1) + 1);
+/** Returns the part of a key up to its second slash, which identifies the kind of record. */
+const getKeyKind = (key: string): string => key.slice(0, key.indexOf('/', key.indexOf('/') + 1) + 1);
--- a/src/state/key-value.ts
+++ b/src/state/key-value.ts
@@ -1,4 +1,4 @@
-/** The data model of the state store: keys with values and revisions, and compare-and-swap transactions on them. */
+/** The data model of the state store: keys with values and revisions, and compare-and-swap transactions. */
 import type { WireInt } from '../wire/json.js';
 
 /** A key of the state store with its value. */
@@ -12,13 +12,16 @@
 /** A change of a key, as a watch reports it. */
 export interface KeyChange {
   readonly key: string;
-  /** Undefined: the key was deleted. */
+  /** The new value, or undefined if the key was deleted. */
   readonly value: unknown;
   /** The store's revision at the change. */
   readonly modRevision: WireInt;
 }
 
-/** A condition of a transaction: the key's last change is at `modRevision`, or there is no such key if that is 0. */
+/**
+ * A condition of a transaction: the key must have been changed last at `modRevision`. If that is 0, the key must not
+ * exist.
+ */
 export interface Condition {
   readonly key: string;
   readonly modRevision: WireInt;
@@ -27,25 +30,25 @@
 /** A write of one key within a transaction. */
 export interface Operation {
   readonly key: string;
-  /** Undefined: the key is deleted. */
+  /** The new value, or undefined to delete the key. */
   readonly value: unknown;
-  /** The lease that the key is attached to: the store deletes the key when the lease expires. */
+  /** The lease to which the key is attached. The store deletes the key when the lease expires. */
   readonly leaseId?: WireInt;
 }
 
-/** How a compare-and-swap transaction ended. */
+/** The result of a compare-and-swap transaction. */
 export type TransactionResult =
   | { readonly outcome: 'applied'; readonly revision: WireInt }
-  /** At least one condition did not hold; `failedKeys` names the keys of those. */
+  /** At least one condition did not hold. `failedKeys` are the keys of the failed conditions. */
   | { readonly outcome: 'conflict'; readonly failedKeys: readonly string[]; readonly revision: WireInt }
-  /** Not executed; `status` is the HTTP status, 0 if the request was never sent. */
+  /** The transaction was not executed. `status` is the HTTP status, or 0 if the request was never sent. */
   | { readonly outcome: 'refused'; readonly status: number }
-  /** No usable response: it may have been executed, or may yet be. */
+  /** There was no usable response. The transaction may have been executed, or may be executed later. */
   | { readonly outcome: 'unclear' };
 
 /** A page of a listing of keys. */
 export interface KeyPage {
-  /** In the order of their keys. */
+  /** The keys with their values, sorted by key. */
   readonly keyValues: readonly KeyValue[];
   /** Whether there are keys after this page. */
   readonly more: boolean;
@@ -53,7 +56,7 @@
   readonly revision: WireInt;
 }
 
-/** The changes after a revision. */
+/** The changes that a watch reports. */
 export interface KeyChanges {
   readonly changes: readonly KeyChange[];
   /** The store's revision up to which `changes` is complete. */
--- a/src/state/records.ts
+++ b/src/state/records.ts
@@ -1,4 +1,4 @@
-/** The records that the state store holds: their keys and stored forms. No other module knows those. */
+/** The records in the state store, with their keys and stored forms. No other module depends on those. */
 export * from './records/completion-segments.js';
 export * from './records/delegated-leases.js';
 export * from './records/dependency-list.js';
--- a/src/state/records/completion-segments.ts
+++ b/src/state/records/completion-segments.ts
@@ -1,16 +1,16 @@
 /**
- * The stored form of the completion bitmap of a job. It is spread over segments: the first is in the job's own value,
- * each further one has a key of its own, so that a large array is written in parts.
+ * The stored form of the completion bitmap of a job. The bitmap is split into segments, so that a large array is
+ * written in parts. The first segment is in the job's own value, and each further segment has a key of its own.
  */
 import { COMPLETION_SEGMENT_TASKS } from '../../constants.js';
 import type { CompletionBitmap } from '../completion-bitmap.js';
 
-/** The number of segments of a job with so many tasks; at least one. */
-export function completionSegmentCount(tasks: number): number {
-  return Math.max(1, Math.ceil(tasks / COMPLETION_SEGMENT_TASKS));
+/** Returns the number of segments of a job with `taskCount` tasks, which is at least one. */
+export function completionSegmentCount(taskCount: number): number {
+  return Math.max(1, Math.ceil(taskCount / COMPLETION_SEGMENT_TASKS));
 }
 
-/** The stored form of a segment. */
+/** Encodes a segment of a bitmap. */
 export function encodeCompletionSegment(bitmap: CompletionBitmap, segment: number): string {
   return bitmap.encodeRange(segment * COMPLETION_SEGMENT_TASKS, COMPLETION_SEGMENT_TASKS);
 }
@@ -20,7 +20,10 @@
   bitmap.mergeEncoded(segment * COMPLETION_SEGMENT_TASKS, stored);
 }
 
-/** Characters that the first segment of a job with so many tasks takes at most: base64, 4 characters for 3 bytes. */
-export function maxFirstSegmentLength(tasks: number): number {
-  return Math.ceil(Math.min(tasks, COMPLETION_SEGMENT_TASKS) / 8 / 3) * 4;
+/**
+ * Returns the maximum number of characters of the first segment of a job with `taskCount` tasks. Base64 takes 4
+ * characters for 3 bytes.
+ */
+export function maxFirstSegmentLength(taskCount: number): number {
+  return Math.ceil(Math.min(taskCount, COMPLETION_SEGMENT_TASKS) / 8 / 3) * 4;
 }
--- a/src/state/records/delegated-leases.ts
+++ b/src/state/records/delegated-leases.ts
@@ -1,7 +1,10 @@
-/** The stored form of leases of nodes that a controller other than the leader renews behind a network partition. */
+/**
+ * The stored form of node leases that a controller renews because a network partition separates the nodes from the
+ * leader.
+ */
 import { isObject } from '../../wire/json.js';
 
-/** Nodes whose leases a controller renews. */
+/** The nodes whose leases a controller renews in place of the leader. */
 export interface DelegatedLeasesRecord {
   /** The leader's term in which the controller began to renew them. */
   readonly term: number;
@@ -9,12 +12,12 @@
   readonly nodes: readonly string[];
 }
 
-/** The stored form of delegated leases. */
+/** Encodes delegated leases. */
 export function encodeDelegatedLeases({ term, nodes }: DelegatedLeasesRecord): unknown {
   return { t: term, m: nodes };
 }
 
-/** Delegated leases from their stored form; undefined if that is malformed. */
+/** Decodes delegated leases. Returns undefined if the stored form is malformed. */
 export function decodeDelegatedLeases(value: unknown): DelegatedLeasesRecord | undefined {
   if (!isObject(value) || !Array.isArray(value.m)) return undefined;
   return { term: Number(value.t), nodes: value.m.map(String) };
--- a/src/state/records/encoded-size.ts
+++ b/src/state/records/encoded-size.ts
@@ -1,15 +1,15 @@
-/** The size of values in the state store, which limits it. */
+/** The encoded size of values, which the state store limits. */
 import { formatJson } from '../../wire/json.js';
 
-/** Bytes of a list besides its elements: the brackets. */
+/** Size of the two brackets of a JSON array. */
 const LIST_BYTES = 2;
-/** Bytes between two elements: the comma. */
+/** Size of the comma between two elements of a JSON array. */
 const SEPARATOR_BYTES = 1;
 
-/** Bytes that a value takes in the state store. */
+/** Returns the number of bytes that a value takes in the state store. */
 export const encodedBytes = (value: unknown): number => Buffer.byteLength(formatJson(value));
 
-/** Splits a list into parts of at most `maxBytes` each as a value; an element that alone is larger is a part by itself. */
+/** Splits a list into parts whose encoded size is at most `maxBytes`. A larger element becomes a part of its own. */
 export function splitByBytes(list: readonly string[], maxBytes: number): string[][] {
   const parts: string[][] = [];
   let part: string[] = [];
--- a/src/state/records/instance-types.ts
+++ b/src/state/records/instance-types.ts
@@ -1,27 +1,31 @@
-/** The stored form of the instance types that the cloud offers: a list of them, with the field names of the code. */
+/**
+ * The stored form of the instance types that the cloud offers. It is a list whose fields have the names of the code.
+ */
 import { isObject } from '../../wire/json.js';
 
-/** An instance type of the cloud's catalog. It is stored as it stands: its property names are a stored form. */
+/**
+ * An instance type of the cloud's catalog. It is stored unchanged, so its property names are part of the stored form.
+ */
 export interface InstanceType {
   readonly name: string;
   readonly cpus: number;
   readonly accelerators: number;
   readonly memGb: number;
-  /** GB of images that a node of this type caches. */
+  /** Size of the image cache of a node of this type, in GB. */
   readonly cacheGb: number;
-  /** GB of an image that a node of this type pulls per second. */
+  /** Rate at which a node of this type pulls an image, in GB per second. */
   readonly pullGbPerS: number;
   /** Price of an on-demand instance per hour. */
   readonly price: number;
-  /** Price of a spot instance per hour; it moves with the market. */
+  /** Price of a spot instance per hour, which changes with the market. */
   readonly spotPrice: number;
-  /** Seconds from launch until the node sends its first heartbeat, as the catalog states it. */
+  /** Time in seconds from the launch to the first heartbeat of the node, according to the catalog. */
   readonly bootS: number;
   /** Zones that offer this type. */
   readonly zones: readonly string[];
 }
 
-/** The instance types from their stored form; malformed ones are left out. */
+/** Decodes the instance types. Malformed entries are skipped. */
 export function decodeInstanceTypes(value: unknown): InstanceType[] {
   return Array.isArray(value) ? value.filter(isInstanceType) : [];
 }
--- a/src/state/records/job-record.ts
+++ b/src/state/records/job-record.ts
@@ -1,43 +1,43 @@
-/** The stored form of a job: its description, and how far it is. */
+/** The stored form of a job, which holds its description and its progress. */
 import { isObject } from '../../wire/json.js';
 import { isPositiveInteger } from './checks.js';
 import { maxFirstSegmentLength } from './completion-segments.js';
 import { encodedBytes } from './encoded-size.js';
 import { decodeJobSpec, encodeJobSpec, type JobSpec } from './job-spec.js';
 
-/** Whether a job is still to be done, is done, or was cancelled. */
+/** Whether a job is unfinished, done or cancelled. */
 export type JobPhase = 'open' | 'done' | 'cancelled';
 
 /** A job as the state store holds it. */
 export interface JobRecord {
   readonly phase: JobPhase;
-  /** The number of tasks. It is kept when the description is not. */
+  /** The number of tasks. It is kept after the description has been dropped. */
   readonly tasks: number;
-  /** Undefined once the job is over and none of its tasks is left on a node. */
+  /** The description, or undefined once the job is over and none of its tasks is left on a node. */
   readonly spec?: JobSpec;
-  /** Wall ms at which a controller accepted the job. */
+  /** Wall-clock time in milliseconds at which a controller accepted the job. */
   readonly acceptedMs: number;
-  /** The state of each member of the job's pipeline, a letter each: N, E, S or F (see src/pipeline/pipeline.ts). */
+  /** The state of each member of the job's pipeline as one letter: N, E, S or F (see src/pipeline/pipeline.ts). */
   readonly memberStates: string;
-  /** Whether the pipeline with a deadline has ended, and its successor without one runs. */
+  /** Whether the pipeline with a deadline has ended and its successor without a deadline is running. */
   readonly successor: boolean;
-  /** The first segment of the completion bitmap. */
+  /** The first segment of the completion bitmap, encoded. */
   readonly completed: string;
-  /** Wall ms at which the job was done; absent in what former versions wrote. */
+  /** Wall-clock time in milliseconds at which the job was done. Absent in records of earlier versions. */
   readonly finishedMs?: number;
 }
 
 const STORED_PHASES: Readonly<Record<JobPhase, string>> = { open: 'o', done: 'd', cancelled: 'c' };
 const PHASES: readonly JobPhase[] = ['open', 'done', 'cancelled'];
 
-/** The stored form of a job. */
+/** Encodes a job. */
 export function encodeJob(record: JobRecord): unknown {
-  const base = { p: STORED_PHASES[record.phase], n: record.tasks, t: record.acceptedMs };
-  const end = record.finishedMs === undefined ? {} : { f: record.finishedMs };
-  if (!record.spec) return { ...base, ...end, x: record.memberStates };
+  const commonFields = { p: STORED_PHASES[record.phase], n: record.tasks, t: record.acceptedMs };
+  const finishFields = record.finishedMs === undefined ? {} : { f: record.finishedMs };
+  if (!record.spec) return { ...commonFields, ...finishFields, x: record.memberStates };
   return {
-    ...base,
-    ...end,
+    ...commonFields,
+    ...finishFields,
     x: record.memberStates,
     u: record.successor ? 1 : 0,
     d: record.completed,
@@ -45,15 +45,17 @@
   };
 }
 
-/** A job from its stored form; undefined if that is malformed, or is open and has no valid description. */
+/**
+ * Decodes a job. Returns undefined if the stored form is malformed, or if the job is open and has no valid description.
+ */
 export function decodeJob(value: unknown): JobRecord | undefined {
   if (!isObject(value)) return undefined;
-  const phase = PHASES.find((each) => STORED_PHASES[each] === value.p);
+  const phase = PHASES.find((candidate) => STORED_PHASES[candidate] === value.p);
   const { n: tasks, t: acceptedMs, x: memberStates } = value;
   if (!phase || !isPositiveInteger(tasks) || typeof acceptedMs !== 'number') return undefined;
   if (typeof memberStates !== 'string' || !/^[NESF]{1,2}$/.test(memberStates)) return undefined;
-  const described = decodeJobSpec(value.s);
-  const spec = described?.tasks === tasks ? described : undefined;
+  const decodedSpec = decodeJobSpec(value.s);
+  const spec = decodedSpec?.tasks === tasks ? decodedSpec : undefined;
   if (phase === 'open' && !spec) return undefined;
   return {
     phase,
@@ -67,12 +69,12 @@
   };
 }
 
-/** Whether a stored job is cancelled; without decoding it. */
+/** Whether a stored job is cancelled. The check does not decode the job. */
 export function isCancelledJob(value: unknown): boolean {
   return isObject(value) && value.p === STORED_PHASES.cancelled;
 }
 
-/** Bytes that the value of a job takes at most, however many of its tasks are completed. */
+/** Returns the maximum size in bytes of a job's stored value, however many of its tasks are completed. */
 export function maxJobBytes(record: JobRecord): number {
   const withoutBitmap = encodeJob({ ...record, completed: '', finishedMs: record.acceptedMs });
   return encodedBytes(withoutBitmap) + maxFirstSegmentLength(record.tasks);
--- a/src/state/records/job-spec.ts
+++ b/src/state/records/job-spec.ts
@@ -1,6 +1,6 @@
 /**
- * The description of a job and its stored form. The stored field names are those of the versions that first wrote them
- * and never change; here they are mapped to the names of the code, and back.
+ * The description of a job and its stored form. The stored field names never change. They were chosen by earlier
+ * versions, and this module maps them to the names of the code and back.
  */
 import { isObject } from '../../wire/json.js';
 import { isPositiveInteger, isStringArray } from './checks.js';
@@ -8,31 +8,31 @@
 /** The priority class of a job. */
 export type Rank = 'prod' | 'high' | 'standard' | 'idle';
 
-/** All ranks, the highest first. */
+/** All ranks, from the highest to the lowest. */
 export const RANKS: readonly Rank[] = ['prod', 'high', 'standard', 'idle'];
 
-/** What a user submits. */
+/** The description of a job, as a user submits it. */
 export interface JobSpec {
   readonly uid: string;
-  /** The class by which service-level objectives and run times are looked up. */
+  /** The class by which the job's service-level objectives and run times are looked up. */
   readonly jobClass: string;
   readonly team: string;
-  /** An array ends when all its tasks are completed; a service runs until it is cancelled. */
+  /** An array ends when all of its tasks are completed. A service runs until it is cancelled. */
   readonly kind: 'array' | 'service';
   readonly rank: Rank;
   /** The number of tasks. */
   readonly tasks: number;
-  /** Processors of one task; a fraction is allowed, as for the other resources. */
+  /** Processors of one task. Fractions are allowed, as for the other resources. */
   readonly cpus: number;
   /** Accelerators of one task. */
   readonly accelerators: number;
   /** Memory of one task in GB. */
   readonly memGb: number;
-  /** The names of the instance types that are allowed; null: all. */
+  /** The names of the allowed instance types, or null if all are allowed. */
   readonly instanceTypes: readonly string[] | null;
-  /** The zone in which all tasks have to run; null: any. */
+  /** The zone in which all tasks have to run, or null if any zone is allowed. */
   readonly zone: string | null;
-  /** Whether all tasks have to run in one zone, whichever it is. */
+  /** Whether all tasks have to run in the same zone, which may be any one. */
   readonly singleZone: boolean;
   /** Whether no zone may run more than half of the tasks. */
   readonly zoneSpread: boolean;
@@ -41,29 +41,29 @@
   readonly image: string;
   /** Size of the image in GB. */
   readonly imageGb: number;
-  /** Seconds that a task takes, as its owner expects. */
+  /** Run time of a task in seconds, as estimated by its owner. */
   readonly estimatedRunS: number;
-  /** Seconds between two checkpoints of a task; 0: it saves none. */
+  /** Time in seconds between two checkpoints of a task, or 0 if it saves no checkpoints. */
   readonly checkpointIntervalS: number;
-  /** Seconds that a checkpoint takes. */
+  /** Duration of a checkpoint in seconds. */
   readonly checkpointS: number;
-  /** Seconds after the acceptance by which the job is due; null: it has no deadline. */
+  /** The deadline in seconds after the job was accepted, or null if it has none. */
   readonly deadlineS: number | null;
-  /** Uids of the jobs that must be done before any task of this one starts; absent if there are none. */
+  /** Uids of the jobs that must be done before any task of this one starts. Absent if there are none. */
   readonly dependencies?: readonly string[];
-  /** The list of dependencies if it does not fit into the job's own value. */
+  /** Refers to the list of dependencies if that does not fit into the job's own value. */
   readonly dependencyList?: DependencyListReference;
 }
 
-/** A list of dependencies under keys of its own, written before the job that refers to it. */
+/** A reference to a dependency list under separate keys. The list is written before the job that refers to it. */
 export interface DependencyListReference {
-  /** Different for each attempt to submit a job. */
+  /** Identifies the list. Each attempt to submit a job uses a new id. */
   readonly id: string;
   /** The number of keys over which the list is spread. */
   readonly parts: number;
 }
 
-/** Fields whose stored name differs from the name in the code. */
+/** The stored names of the fields whose stored name differs from the name in the code. */
 const STORED_NAMES: Readonly<Record<string, string>> = {
   jobClass: 'cohort',
   instanceTypes: 'types',
@@ -81,31 +81,37 @@
 );
 
 /**
- * Both forms of the descriptions in use. A controller decodes the value of a job at each change and each question, and
- * writes it again with each finished task, while its description never changes: translated anew each time, it took some
- * percent of a controller's processor.
+ * Caches of both forms of each description in use. A controller decodes the value of a job at each change and each
+ * query, and encodes it again for each finished task, although the description never changes. Without the caches, the
+ * conversion took several percent of a controller's processor time.
  */
-const decodedSpecs = new WeakMap<object, JobSpec>();
-const storedSpecs = new WeakMap<JobSpec, Record<string, unknown>>();
+const specsByStoredForm = new WeakMap<object, JobSpec>();
+const storedFormsBySpec = new WeakMap<JobSpec, Record<string, unknown>>();
 
-/** The stored form of a description; fields that another version wrote are kept, in their order. Not to be changed. */
+/**
+ * Encodes a description. Fields that another version wrote are kept, in their order. The result is cached and must not
+ * be modified.
+ */
 export function encodeJobSpec(spec: JobSpec): Record<string, unknown> {
-  const known = storedSpecs.get(spec);
-  if (known) return known;
+  const cachedForm = storedFormsBySpec.get(spec);
+  if (cachedForm) return cachedForm;
   const stored = renameFields(spec, STORED_NAMES);
-  storedSpecs.set(spec, stored);
+  storedFormsBySpec.set(spec, stored);
   return stored;
 }
 
-/** A description from its stored form; undefined when that is not one. Fields that this version does not know are kept. */
+/**
+ * Decodes a description. Returns undefined if the stored form is malformed. Fields that this version does not know are
+ * kept.
+ */
 export function decodeJobSpec(stored: unknown): JobSpec | undefined {
   if (!isObject(stored)) return undefined;
-  const known = decodedSpecs.get(stored);
-  if (known) return known;
+  const cachedSpec = specsByStoredForm.get(stored);
+  if (cachedSpec) return cachedSpec;
   if (!isStoredSpec(stored)) return undefined;
   const spec = renameFields(stored, CODE_NAMES) as unknown as JobSpec;
-  decodedSpecs.set(stored, spec);
-  storedSpecs.set(spec, stored);
+  specsByStoredForm.set(stored, spec);
+  storedFormsBySpec.set(spec, stored);
   return spec;
 }
 
@@ -115,7 +121,7 @@
   return renamed;
 }
 
-const isListReference = (value: unknown): boolean =>
+const isDependencyListReference = (value: unknown): boolean =>
   isObject(value) && typeof value.id === 'string' && isPositiveInteger(value.parts);
 
 function isStoredSpec(value: unknown): value is Record<string, unknown> {
@@ -138,6 +144,6 @@
     (zone === null || typeof zone === 'string') &&
     (dueS === null || typeof dueS === 'number') &&
     (value.dependencies === undefined || isStringArray(value.dependencies)) &&
-    (value.dependencySet === undefined || isListReference(value.dependencySet))
+    (value.dependencySet === undefined || isDependencyListReference(value.dependencySet))
   );
 }
--- a/src/state/records/leader-record.ts
+++ b/src/state/records/leader-record.ts
@@ -1,22 +1,22 @@
-/** The stored form of the leader. */
+/** The stored form of the current leader. */
 import { isObject } from '../../wire/json.js';
 
-/** Who leads. */
+/** The current leader. */
 export interface LeaderRecord {
-  /** The controller that leads. */
+  /** Name of the controller that leads. */
   readonly member: string;
-  /** The number of its term. */
+  /** The number of the leader's term. */
   readonly term: number;
-  /** Whether it delegates the calls to the cloud to the holders of the leased roles; former versions make them all. */
+  /** Whether the leader delegates its calls to the cloud to the holders of leased roles. Earlier versions never do. */
   readonly delegates: boolean;
 }
 
-/** The stored form of the leader. */
+/** Encodes the leader. */
 export function encodeLeader({ member, term, delegates }: LeaderRecord): unknown {
   return { member, term, ...(delegates ? { delegates: true } : {}) };
 }
 
-/** The leader from its stored form; undefined if that is malformed. */
+/** Decodes the leader. Returns undefined if the stored form is malformed. */
 export function decodeLeader(value: unknown): LeaderRecord | undefined {
   if (!isObject(value) || typeof value.member !== 'string') return undefined;
   return { member: value.member, term: Number(value.term), delegates: value.delegates === true };
--- a/src/state/state-replica.ts
+++ b/src/state/state-replica.ts
@@ -1,4 +1,4 @@
-/** A local replica of the state store's keys (a watch cache). */
+/** A local replica of the keys in the state store (a watch cache). */
 import type { Logger } from 'pino';
 import { sleep, type Clock } from '@pumicehinge/runtime';
 import {
@@ -15,33 +15,33 @@
 import type { StoreClient } from './store-client.js';
 import { CompactedRevisionError, ReplicaNotLoadedError } from './store-error.js';
 
-/** Gets each change of the replica, after it was applied. */
+/** Called with each change of the replica after it was applied. */
 type ChangeListener = (change: KeyChange) => void;
-/** Gets the steady ms at which the read began that brought the replica up to date. */
+/** Called with the steady-clock time at which a read began that brought the replica up to date. */
 type SyncListener = (requestedMs: number) => void;
 
-/** A caller of `linearizableRead` that waits for its end. */
-interface Waiter {
+/** A call of `linearizableRead` that has not ended. */
+interface PendingRead {
   readonly resolve: () => void;
   readonly reject: (error: unknown) => void;
 }
 
 /**
- * All keys with a prefix, kept up to date by a watch. Reads are local and may lag behind the store a little; a
- * `linearizableRead` first makes sure that everything the store held at the call is here.
+ * Holds all keys with a prefix, and keeps them up to date by a watch. Reads are local and may be slightly stale. After
+ * a `linearizableRead`, the replica holds everything that the store held when the read was called.
  */
 export class StateReplica {
   private readonly index = new KeyValueIndex();
   private revision: WireInt = 0;
-  private loaded = false;
-  private stopped = false;
+  private areKeysLoaded = false;
+  private isStopped = false;
   private readonly changeListeners: ChangeListener[] = [];
   private readonly syncListeners: SyncListener[] = [];
-  private waiters: Waiter[] = [];
-  private isReading = false;
+  private pendingReads: PendingRead[] = [];
+  private isServingReads = false;
   private lastReadMs = -Infinity;
 
-  /** An empty replica of the keys with `prefix`; `run` loads it. */
+  /** Creates an empty replica of the keys with `prefix`. `run` loads it. */
   constructor(
     private readonly client: StoreClient,
     private readonly prefix: string,
@@ -49,46 +49,46 @@
     private readonly log: Logger,
   ) {}
 
-  /** Whether all keys were loaded and the watch goes on from there. */
+  /** Whether all keys are loaded and the watch continues from their revision. */
   get isLoaded(): boolean {
-    return this.loaded;
+    return this.areKeysLoaded;
   }
 
-  /** The value of a key; undefined if there is no such key. */
+  /** Returns a key with its value, or undefined if there is no such key. */
   get(key: string): KeyValue | undefined {
     return this.index.get(key);
   }
 
-  /** All keys of one kind; `prefix` is the part of a key up to its second slash. */
+  /** Lists all keys of one kind. `prefix` is the part of a key up to its second slash. */
   listPrefix(prefix: string): Iterable<KeyValue> {
     return this.index.listPrefix(prefix);
   }
 
-  /** Registers a listener for each change; listeners run in the order in which they were registered. */
+  /** Registers a listener for each change. Listeners run in the order in which they were registered. */
   onChange(listener: ChangeListener): void {
     this.changeListeners.push(listener);
   }
 
-  /** Registers a listener for each read after which the replica is complete up to the beginning of the read. */
+  /** Registers a listener that runs after each read that makes the replica complete up to the start of the read. */
   onSynced(listener: SyncListener): void {
     this.syncListeners.push(listener);
   }
 
-  /** The store's revision up to which the replica is complete; single keys may be newer. */
+  /** The revision of the store up to which the replica is complete. Single keys may be newer. */
   get syncedRevision(): WireInt {
     return this.revision;
   }
 
-  /** Ends `run` after its current call. */
+  /** Ends `run` after its current request. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
   /** Loads all keys, then watches them until `stop`. */
   async run(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.isStopped) {
       try {
-        if (!this.loaded) await this.load();
+        if (!this.areKeysLoaded) await this.load();
         const requestedMs = this.clock.steadyMs();
         const changes = await this.client.watch(this.prefix, this.revision, WATCH_WAIT_MS);
         this.applyChanges(changes, requestedMs);
@@ -102,82 +102,84 @@
   }
 
   /**
-   * Resolves once the replica holds everything that the state store held at the call; one read serves all callers that
-   * wait for it. Rejects with a StoreError or a CallError when the store can't be read now.
+   * Resolves once the replica holds everything that the state store held at the call. One read of the store serves all
+   * callers that wait for it. Rejects with a StoreError or a CallError if the store can't be read.
    */
   linearizableRead(): Promise<void> {
     return new Promise((resolve, reject) => {
-      this.waiters.push({ resolve, reject });
-      if (!this.isReading) void this.serveWaiters();
+      this.pendingReads.push({ resolve, reject });
+      if (!this.isServingReads) void this.servePendingReads();
     });
   }
 
-  /** Applies a write of this controller that the store has confirmed at a revision, ahead of the watch. */
+  /** Applies a write of this controller that the store has confirmed at `revision`, before the watch reports it. */
   applyOwnWrite(key: string, value: unknown, revision: WireInt): void {
     if (revision > this.revision) this.apply({ key, value, modRevision: revision });
   }
 
-  /** Merges a value that another controller has read or written; a newer one stays. */
+  /** Merges a value that another controller has read or written. A newer value in the replica is kept. */
   merge(keyValue: KeyValue): void {
     this.apply(keyValue);
   }
 
-  private async serveWaiters(): Promise<void> {
-    this.isReading = true;
-    while (this.waiters.length > 0) {
+  private async servePendingReads(): Promise<void> {
+    this.isServingReads = true;
+    while (this.pendingReads.length > 0) {
       const pauseMs = this.lastReadMs + LINEARIZABLE_READ_INTERVAL_MS - this.clock.steadyMs();
       if (pauseMs > 0) await sleep(this.clock, pauseMs);
       this.lastReadMs = this.clock.steadyMs();
-      const served = this.waiters;
-      this.waiters = [];
+      const servedReads = this.pendingReads;
+      this.pendingReads = [];
       try {
-        if (!this.loaded) throw new ReplicaNotLoadedError();
+        if (!this.areKeysLoaded) throw new ReplicaNotLoadedError();
         const changes = await this.client.watch(this.prefix, this.revision, 0);
         this.applyChanges(changes, this.lastReadMs);
-        for (const waiter of served) waiter.resolve();
+        for (const read of servedReads) read.resolve();
       } catch (error) {
         this.onFailure(error);
-        for (const waiter of served) waiter.reject(error);
+        for (const read of servedReads) read.reject(error);
       }
     }
-    this.isReading = false;
+    this.isServingReads = false;
   }
 
   private onFailure(error: unknown): void {
-    // The store keeps a bounded history of changes: once this revision is compacted, all keys are read again. So they
-    // are when more has changed than fits into the memory at once: the pages of a listing are small.
-    if (error instanceof CompactedRevisionError || error instanceof AnswerTooLargeError) this.loaded = false;
-    this.log.debug({ err: error }, 'state read failed');
+    // The store keeps a bounded history of changes. Once this revision is compacted, all keys are loaded again. They
+    // are also loaded again if there are more changes than fit into memory at once, as the pages of a listing are
+    // small.
+    if (error instanceof CompactedRevisionError || error instanceof AnswerTooLargeError)
+      this.areKeysLoaded = false;
+    this.log.debug({ err: error }, 'state store read failed');
   }
 
   private async load(): Promise<void> {
     const requestedMs = this.clock.steadyMs();
-    const found = new Map<string, KeyValue>();
+    const listedKeyValues = new Map<string, KeyValue>();
     let firstRevision: WireInt | undefined;
     let lastKey: string | undefined;
     for (;;) {
       const page = await this.client.listPage(this.prefix, lastKey, LOAD_PAGE_KEYS);
-      // Later pages are newer than the first: a watch from the first page's revision misses nothing.
+      // Later pages are newer than the first, so a watch from the first page's revision misses no change.
       firstRevision ??= page.revision;
-      for (const keyValue of page.keyValues) found.set(keyValue.key, keyValue);
+      for (const keyValue of page.keyValues) listedKeyValues.set(keyValue.key, keyValue);
       lastKey = page.keyValues.at(-1)?.key;
       if (!page.more || lastKey === undefined) break;
     }
-    this.replaceWith(found, firstRevision);
-    this.loaded = true;
+    this.applyListing(listedKeyValues, firstRevision);
+    this.areKeysLoaded = true;
     this.notifySynced(requestedMs);
-    this.log.info({ keys: this.index.size }, 'state loaded');
+    this.log.info({ keys: this.index.size }, 'state replica loaded');
   }
 
-  /** Applies the difference to a listing of all keys that began at a revision. */
-  private replaceWith(found: ReadonlyMap<string, KeyValue>, revision: WireInt): void {
+  /** Applies the differences between the replica and a listing of all keys that began at `revision`. */
+  private applyListing(listedKeyValues: ReadonlyMap<string, KeyValue>, revision: WireInt): void {
     this.revision = revision;
-    for (const [key, known] of [...this.index.entries()]) {
-      if (!found.has(key) && known.modRevision <= revision)
+    for (const [key, current] of [...this.index.entries()]) {
+      if (!listedKeyValues.has(key) && current.modRevision <= revision)
         this.apply({ key, value: undefined, modRevision: revision });
     }
-    // Oldest first: the log of cancellations drops the entries that came first.
-    for (const keyValue of [...found.values()].sort(compareRevisions)) {
+    // The oldest changes are applied first, because the log of cancellations drops the entries that came first.
+    for (const keyValue of [...listedKeyValues.values()].sort(compareRevisions)) {
       if (this.index.get(keyValue.key)?.modRevision !== keyValue.modRevision) this.apply(keyValue);
     }
   }
@@ -198,7 +200,7 @@
   }
 }
 
-function compareRevisions(one: KeyValue, other: KeyValue): number {
-  if (one.modRevision === other.modRevision) return 0;
-  return one.modRevision < other.modRevision ? -1 : 1;
+function compareRevisions(left: KeyValue, right: KeyValue): number {
+  if (left.modRevision === right.modRevision) return 0;
+  return left.modRevision < right.modRevision ? -1 : 1;
 }
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -1,4 +1,4 @@
-/** The client of the state store, a consensus-backed key-value store: reads, transactions and leases over HTTP. */
+/** The client of the state store, a consensus-backed key-value store with reads, transactions and leases over HTTP. */
 import { RateLimiter, sleep, type Clock } from '@pumicehinge/runtime';
 import {
   FOLLOWER_BURST_S,
@@ -32,17 +32,17 @@
 export type { Condition, KeyChange, KeyValue, Operation, TransactionResult } from './key-value.js';
 export { StoreError } from './store-error.js';
 
-/** The limits of the state store for all controllers together. */
+/** The limits of the state store, which all controllers share. */
 export interface StoreLimits {
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rps: number;
-  /** Operations of transactions a second. */
+  /** Operations per second, summed over all transactions. */
   readonly writesPerS: number;
-  /** Operations in one transaction. */
+  /** Limit of operations in one transaction. */
   readonly txnOps: number;
 }
 
-/** Dependencies and settings of a StoreClient. */
+/** Dependencies and settings of `StoreClient`. */
 export interface StoreClientOptions {
   readonly caller: HttpCaller;
   /** Host and port of the state store. */
@@ -59,79 +59,82 @@
   readonly target: string;
   readonly body?: string;
   readonly timeoutMs: number;
-  /** Operations that count against the rate of writes. */
-  readonly writes?: number;
-  /** Sent at once, even if the budget is used up. */
+  /** Number of operations that count against the write rate limit. */
+  readonly writeCount?: number;
+  /** Whether the request is sent at once, even if it exceeds the rate limits. */
   readonly skipsRateLimit?: boolean;
 }
 
-/** Calls the state store, within this controller's share of its rate limits. */
+/** Calls the state store within this controller's share of the rate limits. */
 export class StoreClient {
-  /** The budget of operations in transactions. */
-  readonly writeBudget: RateLimiter;
+  /** Limits the rate of operations in transactions. */
+  readonly writeRateLimiter: RateLimiter;
   /** The limits that all controllers share. */
   readonly limits: StoreLimits;
-  private readonly requestBudget: RateLimiter;
-  private servedMs = -Infinity;
-  /** Steady ms since when no call is served; Infinity while calls are. */
+  private readonly requestRateLimiter: RateLimiter;
+  private lastCallServedMs = -Infinity;
+  /** Time of the steady clock since which no call has been served. Infinity while calls are served. */
   private failingSinceMs = Infinity;
 
-  /** The client of a follower; see `setLeading`. */
+  /** Creates a client with the rate limits of a follower. `setLeading` changes them. */
   constructor(private readonly options: StoreClientOptions) {
     this.limits = options.limits;
-    this.requestBudget = new RateLimiter(options.clock, 0);
-    this.writeBudget = new RateLimiter(options.clock, 0);
+    this.requestRateLimiter = new RateLimiter(options.clock, 0);
+    this.writeRateLimiter = new RateLimiter(options.clock, 0);
     this.setLeading(false);
   }
 
   /**
-   * Sets the share of the rate limits for a leader or a follower. The leader writes nearly everything, so a part of the
-   * rates goes with the leadership and the rest is split evenly. A new leader has accumulated no budget, so the sum
-   * keeps within the limits around a change of leader.
+   * Sets the share of the rate limits for a leader or a follower. The leader makes nearly all writes, so a part of each
+   * limit is reserved for the leader and the rest is split evenly. A new leader has no accumulated budget, so all
+   * controllers together stay within the limits during a change of leader.
    */
   setLeading(isLeading: boolean): void {
     const { limits, controllerCount } = this.options;
     const share = (leaderShare: number): number =>
       STATE_RATE_SHARE * ((1 - leaderShare) / controllerCount + (isLeading ? leaderShare : 0));
-    this.requestBudget.setRate(limits.rps * share(LEADER_REQUEST_SHARE));
-    // A user who submits a pipeline sends several jobs in a row to one controller, while the others write little.
+    this.requestRateLimiter.setRate(limits.rps * share(LEADER_REQUEST_SHARE));
+    // A follower may write in bursts, because a user who submits a pipeline sends several jobs in a row to one
+    // controller. The other followers write little meanwhile.
     const burstS = isLeading ? 1 : FOLLOWER_BURST_S;
-    this.writeBudget.setRate(limits.writesPerS * share(LEADER_WRITE_SHARE), burstS);
+    this.writeRateLimiter.setRate(limits.writesPerS * share(LEADER_WRITE_SHARE), burstS);
   }
 
-  /** Steady ms at which the last call that was served ended; -Infinity before the first. */
+  /** Time of the steady clock at which the last served call ended. It is -Infinity before the first one. */
   get lastServedMs(): number {
-    return this.servedMs;
+    return this.lastCallServedMs;
   }
 
-  /** Whether the last call that ended was not served. */
+  /** Whether the last call that ended was not served by the store. */
   get isFailing(): boolean {
     return this.failingSinceMs < Infinity;
   }
 
-  /** Whether the store serves this controller, as far as can be known: a single lost call does not count. */
+  /** Whether the store probably serves this controller. A single lost call does not count as a failure. */
   get isServed(): boolean {
     const nowMs = this.options.clock.steadyMs();
     if (nowMs - this.failingSinceMs > STATE_FAILING_AFTER_MS) return false;
-    return nowMs - this.servedMs < WATCH_WAIT_MS + WATCH_GRACE_MS + STATE_FAILING_AFTER_MS;
+    return nowMs - this.lastCallServedMs < WATCH_WAIT_MS + WATCH_GRACE_MS + STATE_FAILING_AFTER_MS;
   }
 
   /**
-   * Lists at most `limit` keys with a prefix, in their order, starting after the key `after`. Rejects with a StoreError
-   * if the store does not serve the call, with a CallError if it can't be reached.
+   * Lists at most `limit` keys with a prefix, sorted by key, starting after `afterKey`. Rejects with a StoreError if
+   * the store does not serve the call, and with a CallError if the store can't be reached.
    */
-  async listPage(prefix: string, after: string | undefined, limit: number): Promise<KeyPage> {
-    return decodePage(await this.requireServed({ method: 'GET', target: listTarget(prefix, after, limit) }));
+  async listPage(prefix: string, afterKey: string | undefined, limit: number): Promise<KeyPage> {
+    return decodePage(
+      await this.requestOrThrow({ method: 'GET', target: listTarget(prefix, afterKey, limit) }),
+    );
   }
 
   /**
-   * Reads all changes after a revision; waits up to `waitMs` for one. Rejects with a CompactedRevisionError if the
-   * store no longer has the history after `revision`, otherwise like `listPage`.
+   * Reads all changes after a revision. The store waits up to `waitMs` for a change. Rejects with a
+   * CompactedRevisionError if the store no longer has the history after `revision`, and otherwise like `listPage`.
    */
   async watch(prefix: string, revision: WireInt, waitMs: number): Promise<KeyChanges> {
     const target = watchTarget(prefix, revision, waitMs);
     const timeoutMs = waitMs + (waitMs > 0 ? WATCH_GRACE_MS : STATE_CALL_TIMEOUT_MS);
-    return decodeChanges(await this.requireServed({ method: 'GET', target, timeoutMs }));
+    return decodeChanges(await this.requestOrThrow({ method: 'GET', target, timeoutMs }));
   }
 
   /** Executes all operations in one transaction if all conditions hold. Rejects only if a response is malformed. */
@@ -147,7 +150,7 @@
         target: TRANSACTION_PATH,
         body,
         timeoutMs: STATE_CALL_TIMEOUT_MS,
-        writes: operations.length,
+        writeCount: operations.length,
       });
     } catch (error) {
       if (error instanceof CallError && error.failure === 'unsent') return { outcome: 'refused', status: 0 };
@@ -156,15 +159,15 @@
     return decodeTransactionResult(response);
   }
 
-  /** Grants a lease that expires `ttlMs` after its last renewal; resolves to its id, rejects like `listPage`. */
+  /** Grants a lease that expires `ttlMs` after its last renewal, and resolves to its id. Rejects like `listPage`. */
   async grantLease(ttlMs: number): Promise<WireInt> {
     const body = encodeLeaseRequest(ttlMs);
-    return decodeLease(await this.requireServed({ method: 'POST', target: LEASES_PATH, body }));
+    return decodeLease(await this.requestOrThrow({ method: 'POST', target: LEASES_PATH, body }));
   }
 
   /**
-   * Renews a lease. Resolves to true while the lease lives, to false once it has expired; rejects with a StoreError or a
-   * CallError when that is not known.
+   * Renews a lease. Resolves to true if the lease is alive, and to false if it has expired. Rejects with a StoreError
+   * or a CallError if that is unknown.
    */
   async keepAlive(leaseId: WireInt, timeoutMs: number): Promise<boolean> {
     const { status } = await this.request({
@@ -179,7 +182,7 @@
     throw storeErrorForStatus(status);
   }
 
-  /** Ends a lease, whatever the store answers. Rejects with a CallError if it can't be reached. */
+  /** Revokes a lease. The answer of the store is ignored. Rejects with a CallError if the store can't be reached. */
   async revokeLease(leaseId: WireInt): Promise<void> {
     await this.request({
       method: 'DELETE',
@@ -189,8 +192,8 @@
     });
   }
 
-  /** Body of the response to a call that must be served. */
-  private async requireServed(
+  /** Sends a request and resolves to the body of the response. Rejects with a StoreError if the status is not 200. */
+  private async requestOrThrow(
     request: Omit<StoreRequest, 'timeoutMs'> & { timeoutMs?: number },
   ): Promise<string> {
     const response = await this.request({ timeoutMs: STATE_CALL_TIMEOUT_MS, ...request });
@@ -199,33 +202,40 @@
   }
 
   private async request(request: StoreRequest): Promise<HttpResponse> {
-    const { method, target, body, timeoutMs, writes = 0, skipsRateLimit = false } = request;
+    const { method, target, body, timeoutMs, writeCount = 0, skipsRateLimit = false } = request;
     const { caller, address, clock } = this.options;
-    // The leader's lease is never held back by the budget: everything else depends on it.
+    // Renewals and revocations of leases skip the rate limits, because everything else depends on the leader's lease.
     if (!skipsRateLimit) {
-      for (let waitMs = this.budgetWaitMs(writes); waitMs > 0; waitMs = this.budgetWaitMs(writes))
+      for (
+        let waitMs = this.rateLimitWaitMs(writeCount);
+        waitMs > 0;
+        waitMs = this.rateLimitWaitMs(writeCount)
+      )
         await sleep(clock, waitMs);
     }
-    this.requestBudget.consume(1);
-    if (writes > 0) this.writeBudget.consume(writes);
+    this.requestRateLimiter.consume(1);
+    if (writeCount > 0) this.writeRateLimiter.consume(writeCount);
     try {
       const response = await caller.call(address, method, target, body, timeoutMs);
-      this.recordEnd(response.status !== 503 && response.status !== 429);
+      this.recordCallEnd(response.status !== 503 && response.status !== 429);
       return response;
     } catch (error) {
-      this.recordEnd(false);
+      this.recordCallEnd(false);
       throw error;
     }
   }
 
-  /** Milliseconds until a request with so many operations is within the budgets. */
-  private budgetWaitMs(writes: number): number {
-    return Math.max(this.requestBudget.waitMs(1), writes > 0 ? this.writeBudget.waitMs(writes) : 0);
+  /** Returns the time until a request with so many write operations is within the rate limits. */
+  private rateLimitWaitMs(writeCount: number): number {
+    return Math.max(
+      this.requestRateLimiter.waitMs(1),
+      writeCount > 0 ? this.writeRateLimiter.waitMs(writeCount) : 0,
+    );
   }
 
-  private recordEnd(served: boolean): void {
+  private recordCallEnd(isServed: boolean): void {
     const nowMs = this.options.clock.steadyMs();
-    this.failingSinceMs = served ? Infinity : Math.min(this.failingSinceMs, nowMs);
-    if (served) this.servedMs = nowMs;
+    this.failingSinceMs = isServed ? Infinity : Math.min(this.failingSinceMs, nowMs);
+    if (isServed) this.lastCallServedMs = nowMs;
   }
 }
--- a/src/state/store-codec.ts
+++ b/src/state/store-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The wire format of the state store: paths, request bodies and responses. The only module that knows its words; its
- * `stamp` is a key's `modRevision`, its `epoch` the store's revision, its `hold` a lease.
+ * The wire format of the state store: paths, request bodies and responses. No other module depends on its field names.
+ * In the wire format, `stamp` is the `modRevision` of a key, `epoch` is the revision of the store, and `hold` is a
+ * lease.
  */
 import type { HttpResponse } from '../http/message.js';
 import { formatJson, isObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
@@ -15,32 +16,32 @@
 } from './key-value.js';
 import { MalformedResponseError } from './store-error.js';
 
-/** Path of transactions. */
+/** Path to which transactions are posted. */
 export const TRANSACTION_PATH = '/multi';
 /** Path at which leases are granted. */
 export const LEASES_PATH = '/leases';
 
-/** Path of a lease. */
+/** Returns the path of a lease. */
 export const leasePath = (leaseId: WireInt): string => `${LEASES_PATH}/${leaseId}`;
 
-/** Path at which a lease is kept alive. */
+/** Returns the path at which a lease is renewed. */
 export const keepAlivePath = (leaseId: WireInt): string => `${leasePath(leaseId)}/touch`;
 
-/** Target that lists at most `limit` keys with a prefix, those after the key `after`. */
-export function listTarget(prefix: string, after: string | undefined, limit: number): string {
-  const start = after === undefined ? '' : `&since=${after}`;
-  return `/keys?starts=${prefix}${start}&page=${limit}`;
+/** Returns the request target that lists at most `limit` keys with a prefix, starting after `afterKey`. */
+export function listTarget(prefix: string, afterKey: string | undefined, limit: number): string {
+  const sinceParameter = afterKey === undefined ? '' : `&since=${afterKey}`;
+  return `/keys?starts=${prefix}${sinceParameter}&page=${limit}`;
 }
 
-/** Target that reads the changes after a revision; the store waits up to `waitMs` for one. */
+/** Returns the request target that reads the changes after a revision. The store waits up to `waitMs` for a change. */
 export function watchTarget(prefix: string, revision: WireInt, waitMs: number): string {
   return `/follow?starts=${prefix}&since=${revision}&holdMs=${waitMs}`;
 }
 
-/** Body of a request for a lease that lives for `ttlMs` after each renewal. */
+/** Encodes the request for a lease that expires `ttlMs` after its last renewal. */
 export const encodeLeaseRequest = (ttlMs: number): string => formatJson({ ttlMs });
 
-/** Body of a transaction. */
+/** Encodes a transaction. */
 export function encodeTransaction(
   conditions: readonly Condition[],
   operations: readonly Operation[],
@@ -56,26 +57,26 @@
   return { put: key, v: value, ...(leaseId === undefined ? {} : { hold: leaseId }) };
 }
 
-/** A page of keys. Throws MalformedResponseError. */
+/** Decodes a page of keys. Throws a MalformedResponseError if a field is missing or malformed. */
 export function decodePage(responseBody: string): KeyPage {
   const body = parseBody(responseBody);
   const rows = Array.isArray(body.rows) ? body.rows : [];
   return {
     keyValues: rows.filter(isObject).map(decodeKeyValue),
     more: body.more === true,
-    revision: requireInt(body, 'epoch'),
+    revision: requireWireInt(body, 'epoch'),
   };
 }
 
 function decodeKeyValue(row: Record<string, unknown>): KeyValue {
-  return { key: String(row.key), value: row.v, modRevision: requireInt(row, 'stamp') };
+  return { key: String(row.key), value: row.v, modRevision: requireWireInt(row, 'stamp') };
 }
 
-/** The changes that a watch reports. Throws MalformedResponseError. */
+/** Decodes the changes that a watch reports. Throws a MalformedResponseError if a field is missing or malformed. */
 export function decodeChanges(responseBody: string): KeyChanges {
   const body = parseBody(responseBody);
   const log = Array.isArray(body.log) ? body.log : [];
-  return { revision: requireInt(body, 'epoch'), changes: log.filter(isObject).map(decodeChange) };
+  return { revision: requireWireInt(body, 'epoch'), changes: log.filter(isObject).map(decodeChange) };
 }
 
 function decodeChange(entry: Record<string, unknown>): KeyChange {
@@ -83,35 +84,35 @@
   return {
     key: String(isPut ? entry.put : entry.drop),
     value: isPut ? entry.v : undefined,
-    modRevision: requireInt(entry, 'stamp'),
+    modRevision: requireWireInt(entry, 'stamp'),
   };
 }
 
-/** The lease that was granted. Throws MalformedResponseError. */
-export const decodeLease = (responseBody: string): WireInt => requireInt(parseBody(responseBody), 'hold');
+/** Decodes the id of a granted lease. Throws a MalformedResponseError if it is missing or malformed. */
+export const decodeLease = (responseBody: string): WireInt => requireWireInt(parseBody(responseBody), 'hold');
 
-/** What the response to a transaction says. Throws MalformedResponseError. */
+/** Decodes the result of a transaction. Throws a MalformedResponseError if a field is missing or malformed. */
 export function decodeTransactionResult({ status, body: responseBody }: HttpResponse): TransactionResult {
   const body = parseBody(responseBody);
   switch (status) {
     case 200:
-      return { outcome: 'applied', revision: requireInt(body, 'epoch') };
+      return { outcome: 'applied', revision: requireWireInt(body, 'epoch') };
     case 409: {
       const failedKeys = Array.isArray(body.failed) ? body.failed.map(String) : [];
-      return { outcome: 'conflict', failedKeys, revision: requireInt(body, 'epoch') };
+      return { outcome: 'conflict', failedKeys, revision: requireWireInt(body, 'epoch') };
     }
     default:
       return { outcome: 'refused', status };
   }
 }
 
-function requireInt(fields: Record<string, unknown>, field: string): WireInt {
+function requireWireInt(fields: Record<string, unknown>, field: string): WireInt {
   const value = fields[field];
   if (!isWireInt(value)) throw new MalformedResponseError(field);
   return value;
 }
 
-/** The fields of a response; none if it is not a JSON object. */
+/** Returns the fields of a response. The result is empty if the response is not a JSON object. */
 function parseBody(text: string): Record<string, unknown> {
   try {
     const body = parseJson(text);
--- a/src/state/store-error.ts
+++ b/src/state/store-error.ts
@@ -1,50 +1,50 @@
-/** Errors of the client of the state store. */
+/** Errors of the state store client. */
 
-/** The state store responded, but did not serve the call. */
+/** Thrown when the state store responded but did not serve the call. */
 export class StoreError extends Error {
   override readonly name: string = 'StoreError';
 
-  /** `status`: the HTTP status of the response; 0 if the response made no sense. */
+  /** `status` is the HTTP status of the response, or 0 if the response is malformed. */
   constructor(
     readonly status: number,
-    message = `state store answered ${status}`,
+    message = `state store responded with HTTP status ${status}`,
     options?: ErrorOptions,
   ) {
     super(message, options);
   }
 }
 
-/** The state store no longer has the history of changes after the revision of a watch. */
+/** Thrown when the state store no longer has the history of changes after the revision of a watch. */
 export class CompactedRevisionError extends StoreError {
-  /** The HTTP status that says so. */
+  /** The HTTP status with which the state store reports a compacted revision. */
   static readonly STATUS = 410;
 
   override readonly name = 'CompactedRevisionError';
 
   constructor() {
-    super(CompactedRevisionError.STATUS, 'the history after this revision is compacted');
+    super(CompactedRevisionError.STATUS, 'state store has compacted the changes after the watched revision');
   }
 }
 
-/** A response of the state store lacks a field, or a field is malformed. */
+/** Thrown when a field of a response of the state store is missing or malformed. */
 export class MalformedResponseError extends StoreError {
   override readonly name = 'MalformedResponseError';
 
   constructor(readonly field: string) {
-    super(0, `the response of the state store has no valid "${field}"`);
+    super(0, `field "${field}" is missing or malformed in a response of the state store`);
   }
 }
 
-/** The replica has not loaded the state yet, or must load it again: nothing can be read from it. */
+/** Thrown when a replica can't be read because it has not loaded the state yet, or must load it again. */
 export class ReplicaNotLoadedError extends StoreError {
   override readonly name = 'ReplicaNotLoadedError';
 
   constructor() {
-    super(503, 'the replica of the state is not loaded');
+    super(503, 'replica of the state store is not loaded');
   }
 }
 
-/** The error for a response whose status says that the call was not served. */
+/** Returns the error for a response with a status that means that the call was not served. */
 export function storeErrorForStatus(status: number): StoreError {
   return status === CompactedRevisionError.STATUS ? new CompactedRevisionError() : new StoreError(status);
 }
--- a/src/state/term-record.ts
+++ b/src/state/term-record.ts
@@ -1,12 +1,15 @@
 /** The stored form of the number of the latest leadership term, under `TERM_KEY`. */
 import { isObject } from '../wire/json.js';
 
-/** The stored value for a term's number. */
+/** Encodes the number of a term. */
 export function encodeTerm(term: number): unknown {
   return { term };
 }
 
-/** The number of the latest term by its stored value: 0 before the first term, NaN for a value that holds no number. */
+/**
+ * Decodes the number of the latest term. Returns 0 if the value is not an object, as before the first term, and NaN if
+ * the value holds no number.
+ */
 export function decodeTerm(value: unknown): number {
   return isObject(value) ? Number(value.term) : 0;
 }
--- a/src/state/transaction-batcher.ts
+++ b/src/state/transaction-batcher.ts
@@ -1,4 +1,4 @@
-/** Group commit: the writes of a controller go to the state store in as few transactions as possible. */
+/** Group commit: combines the writes of a controller into as few transactions of the state store as possible. */
 import type { Logger } from 'pino';
 import { assertNever, sleep, type Clock } from '@pumicehinge/runtime';
 import { MAX_QUEUED_WRITES, STATE_RETRY_MS } from '../constants.js';
@@ -6,24 +6,24 @@
 import type { Condition, Operation } from './key-value.js';
 import type { StateReplica } from './state-replica.js';
 import type { StoreClient } from './store-client.js';
-import { transactionBytes, WriteBatch, type CommitResult, type PendingWrite } from './write-batch.js';
+import { measureTransactionBytes, WriteBatch, type CommitResult, type PendingWrite } from './write-batch.js';
 
 export type { CommitResult } from './write-batch.js';
 
-/** A write as its caller gives it. */
+/** A write as its caller requests it. */
 type WriteRequest = Pick<PendingWrite, 'conditions' | 'operations' | 'isForUser'> & {
   readonly timeoutMs: number;
 };
 
 /**
- * All writes of a controller pass here, one transaction at a time: what waits meanwhile goes out together in the next
- * one. Every write is conditional, as a transaction without a response may be executed late.
+ * Sends all writes of a controller, one transaction at a time. Writes that arrive during a transaction are sent
+ * together in the next one. Every write is conditional, because a transaction without a response may be executed late.
  */
 export class TransactionBatcher {
   private queue: PendingWrite[] = [];
   private isSending = false;
 
-  /** A write that was applied is in `replica` before its commit resolves. */
+  /** Creates a batcher that applies each successful write to `replica` before its commit resolves. */
   constructor(
     private readonly client: StoreClient,
     private readonly replica: StateReplica,
@@ -31,12 +31,15 @@
     private readonly log: Logger,
   ) {}
 
-  /** Whether so many writes wait that a further one would be refused. */
+  /** Whether the queue is full, so that a further write would be refused. */
   get isFull(): boolean {
     return this.queue.length >= MAX_QUEUED_WRITES;
   }
 
-  /** Writes if all conditions hold; what the store has not taken within `timeoutMs` is refused. Never rejects. */
+  /**
+   * Writes if all conditions hold. A write that the store has not accepted within `timeoutMs` is refused. Never
+   * rejects.
+   */
   commit(
     conditions: readonly Condition[],
     operations: readonly Operation[],
@@ -46,8 +49,8 @@
   }
 
   /**
-   * The same for a user who waits: it goes before the writes of the leader, and is refused at once when the store does
-   * not take it.
+   * Writes like `commit`, for a user who waits for the result. The write is sent before the writes of the leader, and
+   * is refused at once when the store is unavailable.
    */
   commitForUser(
     conditions: readonly Condition[],
@@ -63,10 +66,10 @@
         resolve({ outcome: 'refused' });
         return;
       }
-      const bytes = transactionBytes(conditions, operations);
+      const bytes = measureTransactionBytes(conditions, operations);
       const deadlineMs = this.clock.steadyMs() + timeoutMs;
-      const firstOfLeader = isForUser ? this.queue.findIndex((write) => !write.isForUser) : -1;
-      const position = firstOfLeader < 0 ? this.queue.length : firstOfLeader;
+      const firstLeaderWriteIndex = isForUser ? this.queue.findIndex((write) => !write.isForUser) : -1;
+      const position = firstLeaderWriteIndex < 0 ? this.queue.length : firstLeaderWriteIndex;
       this.queue.splice(position, 0, { conditions, operations, bytes, deadlineMs, isForUser, resolve });
       if (!this.isSending) void this.sendQueue();
     });
@@ -74,31 +77,33 @@
 
   private async sendQueue(): Promise<void> {
     this.isSending = true;
-    // Lets everything that happens in this turn of the event loop into the first batch.
+    // The delay lets all writes of this turn of the event loop join the first batch.
     await sleep(this.clock, 0);
     while (this.queue.length > 0) {
-      const batch = this.nextBatch();
+      const batch = this.takeNextBatch();
       if (batch.length > 0) await this.send(batch);
     }
     this.isSending = false;
   }
 
-  /** Takes the writes of the next transaction off the queue; those past their deadline are refused. */
-  private nextBatch(): readonly PendingWrite[] {
+  /** Takes the writes of the next transaction off the queue. Writes past their deadline are refused. */
+  private takeNextBatch(): readonly PendingWrite[] {
     const nowMs = this.clock.steadyMs();
     const batch = new WriteBatch(this.client.limits.txnOps);
-    const later: PendingWrite[] = [];
+    const deferredWrites: PendingWrite[] = [];
     for (const write of this.queue) {
       if (write.deadlineMs <= nowMs) write.resolve({ outcome: 'refused' });
-      // The order of the queue is kept: nothing overtakes a write that has to wait.
-      else if (later.length > 0 || !batch.tryAdd(write)) later.push(write);
+      // The order of the queue is kept: no write overtakes one that has to wait.
+      else if (deferredWrites.length > 0 || !batch.tryAdd(write)) deferredWrites.push(write);
     }
-    this.queue = later;
+    this.queue = deferredWrites;
     return batch.writes;
   }
 
   private async send(batch: readonly PendingWrite[]): Promise<void> {
-    const conditions = new Map(batch.flatMap((write) => write.conditions).map((each) => [each.key, each]));
+    const conditions = new Map(
+      batch.flatMap((write) => write.conditions).map((condition) => [condition.key, condition]),
+    );
     const operations = batch.flatMap((write) => write.operations);
     const result = await this.client.compareAndSwap([...conditions.values()], operations);
     switch (result.outcome) {
@@ -107,16 +112,17 @@
       case 'conflict':
         return this.resolveConflicts(batch, new Set(result.failedKeys));
       case 'refused':
-        this.log.debug({ status: result.status, writes: batch.length }, 'write refused');
+        this.log.debug({ status: result.status, writes: batch.length }, 'transaction refused');
         if (result.status === 400) {
-          // Malformed, or an expired lease: a retry does not help. Sent alone, the faulty write is known.
+          // A write is malformed or names an expired lease, so a retry does not help. Sending each write alone
+          // identifies the faulty one.
           if (batch.length > 1) for (const write of batch) await this.send([write]);
           else for (const write of batch) write.resolve({ outcome: 'refused', malformed: true });
           return;
         }
         this.queue.unshift(...batch);
-        // In an outage no user waits for the store: the user gets the time after which to retry.
-        if (result.status !== 429) this.refuseUsers();
+        // Users don't wait for the store during an outage. They are told when to retry instead.
+        if (result.status !== 429) this.refuseUserWrites();
         await sleep(this.clock, STATE_RETRY_MS);
         return;
       case 'unclear':
@@ -133,15 +139,15 @@
     for (const write of batch) write.resolve({ outcome: 'applied', revision });
   }
 
-  /** A conflict of one write does not fail the others of its batch: they are sent again. */
+  /** Fails the writes with a conflict, and sends the other writes of the batch again. */
   private resolveConflicts(batch: readonly PendingWrite[], failedKeys: ReadonlySet<string>): void {
-    const isFailed = (write: PendingWrite): boolean =>
+    const hasConflict = (write: PendingWrite): boolean =>
       write.conditions.some(({ key }) => failedKeys.has(key));
-    this.queue.unshift(...batch.filter((write) => !isFailed(write)));
-    for (const write of batch.filter(isFailed)) write.resolve({ outcome: 'conflict' });
+    this.queue.unshift(...batch.filter((write) => !hasConflict(write)));
+    for (const write of batch.filter(hasConflict)) write.resolve({ outcome: 'conflict' });
   }
 
-  private refuseUsers(): void {
+  private refuseUserWrites(): void {
     for (const write of this.queue) if (write.isForUser) write.resolve({ outcome: 'refused' });
     this.queue = this.queue.filter((write) => !write.isForUser);
   }
--- a/test/state/dependency-lists.test.ts
+++ b/test/state/dependency-lists.test.ts
@@ -9,32 +9,34 @@
 } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
 
-test('dependency lists as long as a request allows fit into values, and are read back whole or not at all', () => {
+test('the longest dependency lists that a request allows fit into values, and are read back completely or not at all', () => {
   const list = Array.from({ length: 4_500 }, (_, i) => `job-${String(i).padStart(6, '0')}`);
   for (const valueBytes of [2048, 8192]) {
     const parts = splitByBytes(list, valueBytes);
     assert.deepEqual(parts.flat(), list);
     for (const part of parts) assert.ok(encodedBytes(part) <= valueBytes);
-    const set = { id: 'x', parts: parts.length };
-    const spec = jobSpec({ dependencyList: set });
-    const rows = new Map(parts.map((part, i) => [dependencyListKey(spec.uid, set, i), part as unknown]));
+    const reference = { id: 'x', parts: parts.length };
+    const spec = jobSpec({ dependencyList: reference });
+    const valuesByKey = new Map(
+      parts.map((part, i) => [dependencyListKey(spec.uid, reference, i), part as unknown]),
+    );
     assert.deepEqual(
-      readDependencies(spec, (key) => rows.get(key)),
+      readDependencies(spec, (key) => valuesByKey.get(key)),
       list,
     );
-    rows.delete(dependencyListKey(spec.uid, set, 1));
+    valuesByKey.delete(dependencyListKey(spec.uid, reference, 1));
     assert.equal(
-      readDependencies(spec, (key) => rows.get(key)),
+      readDependencies(spec, (key) => valuesByKey.get(key)),
       undefined,
     );
   }
-  const record = {
+  const recordFields = {
     phase: 'open' as const,
     acceptedMs: 1.7e12,
     memberStates: 'NN',
     successor: false,
     completed: '',
   };
-  // The largest arrays fit the smaller values too, with all tasks completed.
-  assert.ok(maxJobBytes({ ...record, tasks: 100_000, spec: jobSpec({ tasks: 100_000 }) }) <= 2048);
+  // The largest array also fits into the smaller value size, with all of its tasks completed.
+  assert.ok(maxJobBytes({ ...recordFields, tasks: 100_000, spec: jobSpec({ tasks: 100_000 }) }) <= 2048);
 });
--- a/test/state/key-value-index.test.ts
+++ b/test/state/key-value-index.test.ts
@@ -3,66 +3,66 @@
 import { KeyValueIndex } from '../../src/state/key-value-index.js';
 import type { KeyChange } from '../../src/state/key-value.js';
 
-test('key-value index: a change is applied only if it is newer than what is known of its key', () => {
+test('key-value index: a change is applied only if it is newer than the known state of its key', () => {
   const KEY = 'ph/j/job-1';
   const cases: [name: string, before: KeyChange[], change: KeyChange, applied: boolean, value: unknown][] = [
     ['a new key', [], { key: KEY, value: 'a', modRevision: 5 }, true, 'a'],
     [
-      'newer',
+      'newer revision',
       [{ key: KEY, value: 'a', modRevision: 5 }],
       { key: KEY, value: 'b', modRevision: 6 },
       true,
       'b',
     ],
     [
-      'the same',
+      'same revision',
       [{ key: KEY, value: 'a', modRevision: 5 }],
       { key: KEY, value: 'b', modRevision: 5 },
       false,
       'a',
     ],
     [
-      'older',
+      'older revision',
       [{ key: KEY, value: 'a', modRevision: 5 }],
       { key: KEY, value: 'b', modRevision: 4 },
       false,
       'a',
     ],
     [
-      'newer, beyond the safe integers',
+      'newer revision beyond the safe integers',
       [{ key: KEY, value: 'a', modRevision: 5 }],
       { key: KEY, value: 'b', modRevision: 2n ** 63n },
       true,
       'b',
     ],
-    ['no such key to delete', [], { key: KEY, value: undefined, modRevision: 5 }, false, undefined],
+    ['delete of an absent key', [], { key: KEY, value: undefined, modRevision: 5 }, false, undefined],
     [
-      'deleted at the same revision',
+      'delete at the same revision',
       [{ key: KEY, value: 'a', modRevision: 5 }],
       { key: KEY, value: undefined, modRevision: 5 },
       true,
       undefined,
     ],
     [
-      'deleted before',
+      'delete at an older revision',
       [{ key: KEY, value: 'a', modRevision: 5 }],
       { key: KEY, value: undefined, modRevision: 4 },
       false,
       'a',
     ],
   ];
-  for (const [name, before, change, applied, value] of cases) {
+  for (const [name, earlierChanges, change, isApplied, value] of cases) {
     const index = new KeyValueIndex();
-    for (const each of before) index.apply(each);
-    assert.equal(index.apply(change), applied, name);
+    for (const each of earlierChanges) index.apply(each);
+    assert.equal(index.apply(change), isApplied, name);
     assert.equal(index.get(KEY)?.value, value, name);
-    const listed = [...index.listPrefix('ph/j/')].map((each) => each.value);
-    assert.deepEqual(listed, value === undefined ? [] : [value], name);
-    assert.equal(index.size, listed.length, name);
+    const listedValues = [...index.listPrefix('ph/j/')].map((each) => each.value);
+    assert.deepEqual(listedValues, value === undefined ? [] : [value], name);
+    assert.equal(index.size, listedValues.length, name);
   }
 });
 
-test('key-value index: lists the keys of one kind, and of a key without a kind', () => {
+test('key-value index: lists only the keys of one kind, and all entries including a key without a kind', () => {
   const index = new KeyValueIndex();
   for (const key of ['ph/j/b', 'ph/leader', 'ph/j/a', 'ph/d/a/1'])
     index.apply({ key, value: 1, modRevision: 1 });
--- a/test/state/state-replica.test.ts
+++ b/test/state/state-replica.test.ts
@@ -9,7 +9,7 @@
 
 const PAGE = '{"rows":[{"key":"ph/j/a","v":1,"stamp":1}],"more":false,"epoch":1}';
 
-/** A replica of a state service whose watches can be made to fail. */
+/** Creates a replica of a state service whose watches can be made to fail. */
 function setUp() {
   const clock = new SimulatedClock();
   const service = {
@@ -33,16 +33,16 @@
   return { clock, service, replica };
 }
 
-test('state replica: is loaded again when its revision is compacted, or the changes do not fit into memory', async () => {
-  const refused = (status: number) => () => Promise.resolve({ status, body: '{}' });
+test('state replica: is loaded again if its revision is compacted or the changes do not fit into memory', async () => {
+  const respondWithStatus = (status: number) => () => Promise.resolve({ status, body: '{}' });
   const cases: [name: string, watch: () => Promise<HttpResponse>, reloads: boolean][] = [
-    ['compacted', refused(410), true],
+    ['compacted', respondWithStatus(410), true],
     ['too large', () => Promise.reject(new AnswerTooLargeError('too large')), true],
-    ['not served', refused(503), false],
+    ['not served', respondWithStatus(503), false],
     ['malformed', () => Promise.resolve({ status: 200, body: '{}' }), false],
     ['lost', () => Promise.reject(new CallError('unclear', 'lost')), false],
   ];
-  for (const [name, watch, reloads] of cases) {
+  for (const [name, watch, shouldReload] of cases) {
     const { clock, service, replica } = setUp();
     void replica.run();
     await clock.runUntil(1_000);
@@ -53,15 +53,15 @@
       return watch();
     };
     await clock.runUntil(3_000);
-    assert.equal(service.listings, reloads ? 2 : 1, name);
+    assert.equal(service.listings, shouldReload ? 2 : 1, name);
     assert.equal(replica.isLoaded, true, name);
     assert.equal(replica.get('ph/j/a')?.value, 1, name);
   }
 });
 
-test('state replica: a linearizable read fails before the replica is loaded, and with what the service says', async () => {
+test('state replica: a linearizable read fails before the replica is loaded, and rejects with the error of the service', async () => {
   const { clock, service, replica } = setUp();
-  const outcomeOf = async (): Promise<unknown> => {
+  const readOutcome = async (): Promise<unknown> => {
     const read = replica.linearizableRead().then(
       () => 'done',
       (error: unknown) => error,
@@ -69,16 +69,16 @@
     await clock.runUntil(clock.steadyMs() + 1_000);
     return read;
   };
-  assert.ok((await outcomeOf()) instanceof ReplicaNotLoadedError);
+  assert.ok((await readOutcome()) instanceof ReplicaNotLoadedError);
   void replica.run();
   await clock.runUntil(clock.steadyMs() + 1_000);
-  assert.equal(await outcomeOf(), 'done');
+  assert.equal(await readOutcome(), 'done');
   replica.stop();
   await clock.runUntil(clock.steadyMs() + 1_000);
   service.watch = () => Promise.resolve({ status: 410, body: '{}' });
-  assert.ok((await outcomeOf()) instanceof CompactedRevisionError);
-  const notLoaded = await outcomeOf();
-  assert.ok(notLoaded instanceof StoreError);
-  assert.equal(notLoaded.status, 503);
-  assert.equal(notLoaded.name, 'ReplicaNotLoadedError');
+  assert.ok((await readOutcome()) instanceof CompactedRevisionError);
+  const notLoadedError = await readOutcome();
+  assert.ok(notLoadedError instanceof StoreError);
+  assert.equal(notLoadedError.status, 503);
+  assert.equal(notLoadedError.name, 'ReplicaNotLoadedError');
 });
--- a/test/state/write-batch.test.ts
+++ b/test/state/write-batch.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_TXN_BYTES } from '../../src/constants.js';
-import { transactionBytes, WriteBatch, type PendingWrite } from '../../src/state/write-batch.js';
+import { measureTransactionBytes, WriteBatch, type PendingWrite } from '../../src/state/write-batch.js';
 
-function write(fields: Partial<PendingWrite>): PendingWrite {
+function createWrite(fields: Partial<PendingWrite>): PendingWrite {
   return {
     conditions: [],
     operations: [],
@@ -15,46 +15,58 @@
   };
 }
 
-const put = (...keys: string[]): Partial<PendingWrite> => ({
+const putKeys = (...keys: string[]): Partial<PendingWrite> => ({
   operations: keys.map((key) => ({ key, value: 1 })),
 });
-const expect = (modRevision: number, ...keys: string[]): Partial<PendingWrite> => ({
+const expectRevision = (modRevision: number, ...keys: string[]): Partial<PendingWrite> => ({
   conditions: keys.map((key) => ({ key, modRevision })),
 });
 
-test('write batch: writes go together unless they contradict each other or exceed a limit', () => {
+test('write batch: writes share a transaction unless they contradict each other or exceed a limit', () => {
   const cases: [name: string, writes: Partial<PendingWrite>[], added: boolean[]][] = [
-    ['other keys', [put('a'), put('b')], [true, true]],
-    ['the same key', [put('a'), put('a')], [true, false]],
-    ['a key expected alike', [expect(3, 'leader'), expect(3, 'leader')], [true, true]],
-    ['a key expected at two revisions', [expect(3, 'leader'), expect(4, 'leader')], [true, false]],
-    ['as many operations as allowed, and one more', [put('a', 'b'), put('c'), put('d')], [true, true, false]],
-    ['more operations than allowed at once', [put('a', 'b', 'c', 'd')], [false]],
+    ['different keys', [putKeys('a'), putKeys('b')], [true, true]],
+    ['the same key twice', [putKeys('a'), putKeys('a')], [true, false]],
+    [
+      'a key expected at the same revision',
+      [expectRevision(3, 'leader'), expectRevision(3, 'leader')],
+      [true, true],
+    ],
+    [
+      'a key expected at two revisions',
+      [expectRevision(3, 'leader'), expectRevision(4, 'leader')],
+      [true, false],
+    ],
+    [
+      'as many operations as allowed, and one more',
+      [putKeys('a', 'b'), putKeys('c'), putKeys('d')],
+      [true, true, false],
+    ],
+    ['more operations than allowed at once', [putKeys('a', 'b', 'c', 'd')], [false]],
     [
       'as many conditions as allowed, and one more',
-      [expect(0, ...'abcdefghijkl'), expect(0, 'm')],
+      [expectRevision(0, ...'abcdefghijkl'), expectRevision(0, 'm')],
       [true, false],
     ],
     ['too long together', [{ bytes: MAX_TXN_BYTES }, { bytes: 1 }], [true, false]],
     ['too long alone', [{ bytes: MAX_TXN_BYTES + 1 }, { bytes: 1 }], [true, false]],
   ];
-  for (const [name, writes, added] of cases) {
+  for (const [name, writes, expectedResults] of cases) {
     const batch = new WriteBatch(3);
-    const pending = writes.map(write);
+    const pending = writes.map(createWrite);
     assert.deepEqual(
       pending.map((each) => batch.tryAdd(each)),
-      added,
+      expectedResults,
       name,
     );
     assert.deepEqual(
       batch.writes,
-      pending.filter((_, i) => added[i]),
+      pending.filter((_, i) => expectedResults[i]),
       name,
     );
   }
 });
 
-test('write batch: the length of a write is that of its JSON with the field names of the wire', () => {
+test('write batch: the length of a write is that of its JSON with the field names of the wire format', () => {
   const conditions = [{ key: 'ph/leader', modRevision: 2n ** 63n }];
   const operations = [
     { key: 'a', value: { n: 1 }, leaseId: 7 },
@@ -62,5 +74,5 @@
   ];
   const text =
     '[[{"key":"ph/leader","stamp":9223372036854775808}],[{"key":"a","value":{"n":1},"hold":7},{"key":"b"}]]';
-  assert.equal(transactionBytes(conditions, operations), text.length);
+  assert.equal(measureTransactionBytes(conditions, operations), text.length);
 });
