--- a/packages/duties/src/constants.ts
+++ b/packages/duties/src/constants.ts
@@ -1,60 +1,78 @@
-/** Every constant of the leased roles, with unit and reason. Limits of a deployment are passed in. */
+/** The constants of the leased roles. The limits of a deployment are passed in as options instead. */
 
-/** ms: life of the lease on which all roles of one controller rest; a few renewals fit into it. */
+/** Time to live of the lease to which all roles of one controller are attached. Several renewals fit into it. */
 export const ROLE_LEASE_TTL_MS = 4_000;
-/** ms: between two renewals of that lease. */
+/** Interval between two renewals of that lease. */
 export const LEASE_RENEWAL_INTERVAL_MS = 1_000;
-/** ms: a renewal without an answer is given up after this, so that another one still fits into the lease. */
+/** Timeout of one renewal. It is short enough for another renewal before the lease expires. */
 export const LEASE_RENEWAL_TIMEOUT_MS = 1_500;
-/** ratio: steady clocks of two machines drift apart by at most 0.05%; twice that is assumed. */
+/**
+ * Assumed drift between the steady clocks of two machines. They drift apart by at most 0.05%, and this is twice that.
+ */
 export const MAX_CLOCK_DRIFT_RATIO = 0.001;
-/** ms: kept back from the end of a lease for pauses between the check and what rests on it. */
+/** Safety margin before the expiry of a lease. It covers pauses between checking the lease and acting on the result. */
 export const LEASE_SAFETY_MARGIN_MS = 250;
-/** ms: between two checks of which roles are vacant, and of which intents are due. */
+/** Interval between two checks for vacant roles and for due intents. */
 export const ROLE_CHECK_INTERVAL_MS = 250;
-/** ms: per role that a controller holds already, by which it becomes a candidate for a vacant one later. */
-export const CANDIDACY_DELAY_PER_ROLE_MS = 400;
-/** ms: longest random pause before a candidacy, so that two candidates seldom collide. */
+/** Delay of a candidacy for each role that the controller already holds. */
+export const CANDIDACY_DELAY_PER_HELD_ROLE_MS = 400;
+/** Longest random delay of a candidacy. It makes it unlikely that two candidates collide. */
 export const CANDIDACY_JITTER_MS = 200;
-/** ms: a term lasts this long before others than its leader become candidates: until then all are busy enough. */
-export const TERM_SETTLING_MS = 4_000;
-/** ms: by which others leave a vacant role to the leader if the leader should hold it. */
+/**
+ * Time between the start of a term and the first candidacies in it, because all controllers are busy after an election.
+ * The leader does not wait before it campaigns for a role that it should hold itself.
+ */
+export const NEW_TERM_CANDIDACY_DELAY_MS = 4_000;
+/** Extra delay before controllers other than the leader campaign for a role that the leader should hold. */
 export const LEADER_HEAD_START_MS = 1_000;
-/** ms: a term lasts this long before such a role is transferred to its leader, which is busy right after a change. */
+/**
+ * Time between the start of a term and the transfer of a role to the new leader, which is busy right after a change.
+ */
 export const TRANSFER_TO_LEADER_DELAY_MS = 8_000;
-/** ms: a leader that left the role to us, as one cut off from the cloud does, is not given it again before this. */
+/**
+ * Time for which a controller keeps a role that the current leader should hold but gave up, before it transfers the
+ * role back. A leader that is cut off from the cloud, for example, gives such a role up.
+ */
 export const TRANSFER_BACK_DELAY_MS = 60_000;
-/** ms: before the next candidacy after one that another controller won or whose outcome stayed unclear. */
-export const CANDIDACY_RETRY_MS = 500;
-/** ms: a lease on which no role rests is kept this long for the next candidacy. */
+/** Delay before the next candidacy after one that another controller won, or whose outcome is unknown. */
+export const CANDIDACY_RETRY_DELAY_MS = 500;
+/** Time for which a lease without roles is kept for the next candidacy. */
 export const IDLE_LEASE_TIMEOUT_MS = 10_000;
-/** ms: for which a controller leaves a role that it resigned to the others. */
+/** Time for which a controller does not campaign for a role that it resigned, so that another one can acquire it. */
 export const RESIGNATION_COOLDOWN_MS = 10_000;
-/** ms: without any answer of the cloud, though calls are made, before the holder resigns its role. */
-export const CLOUD_UNRESPONSIVE_MS = 12_000;
-/** ms: before a call, or a write that was refused, is tried again. */
+/** A role holder whose calls to the cloud have all gone unanswered for this long resigns its role. */
+export const CLOUD_UNRESPONSIVE_TIMEOUT_MS = 12_000;
+/** Delay before the retry of a call to the cloud or of a refused write. */
 export const RETRY_DELAY_MS = 1_000;
-/** intents: that one role holder executes at the same time; one slow call must not hold up the others. */
+/**
+ * Most intents that one role holder executes at the same time. With more than one, a slow call does not hold up the
+ * others.
+ */
 export const MAX_INTENTS_IN_FLIGHT = 4;
-/** ms: over which nodes that nobody needs are gathered into one intent; they cost little meanwhile. */
+/** Time over which the nodes that nobody needs are collected into one intent. The wait adds little cost. */
 export const SCALE_IN_BATCH_WINDOW_MS = 1_000;
-/** ms: over which nodes to reclaim are gathered into one intent; they are lost together as a rule. */
+/** Time over which the nodes to reclaim are collected into one intent. Such nodes are usually lost together. */
 export const RECLAIM_BATCH_WINDOW_MS = 300;
-/** bytes: on the safe side, of one node's name in an intent. */
+/** Generous upper bound for the size of one node's name in an intent. */
 export const MAX_NODE_NAME_BYTES = 64;
-/** bytes: of an intent besides its names. */
-export const INTENT_OVERHEAD_BYTES = 256;
-/** nodes: most in one request to terminate some (protocol of the cloud). */
-export const MAX_NAMES_PER_TERMINATION = 100;
-/** ms: between two rounds of clean-up. */
+/** Upper bound for the size of an intent without the names of its nodes. */
+export const INTENT_FIXED_BYTES = 256;
+/** Most nodes in one termination request, by the cloud's protocol. */
+export const MAX_NODES_PER_TERMINATION = 100;
+/** Interval between two rounds of cleanup. */
 export const CLEANUP_INTERVAL_MS = 5_000;
-/** deletes: in one round of clean-up; it must never compete with the leader's writes. */
-export const CLEANUP_BATCH_SIZE = 8;
-/** ms: for which a completed launch stays, so that a new leader learns of its nodes. */
+/** Most deletes in one round of cleanup, so that it never competes with the leader's writes. */
+export const MAX_DELETES_PER_CLEANUP = 8;
+/** Time for which a completed launch intent is kept, so that a new leader learns of its nodes. */
 export const LAUNCH_RETENTION_MS = 30_000;
-/** ms: for which the names of terminated nodes stay: longer than the launch that brought them. */
+/**
+ * Time for which the names of terminated nodes are kept. It is longer than for the intents that launched them.
+ */
 export const TERMINATION_RETENTION_MS = 120_000;
-/** s: of its share of the cloud's rate that a role holder may use at once (the protocol permits two seconds' worth). */
+/**
+ * Seconds' worth of its share of the cloud's rate limit that a role holder may use in one burst, by the cloud's
+ * protocol.
+ */
 export const CLOUD_BURST_S = 2;
-/** ms: before the actors of a process begin anew after one of them failed; the cause may still be there. */
-export const RESTART_DELAY_MS = 1_000;
+/** Delay before the actors of a process restart after one of them failed, as the cause may still be present. */
+export const ACTOR_RESTART_DELAY_MS = 1_000;
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -1,4 +1,4 @@
-/** Leased roles, each held by one controller at a time, and the recorded intents that their holders execute. */
+/** Leased roles, each held by at most one controller at a time, and the recorded intents that their holders execute. */
 export { LeasedRoles, type LeasedRolesOptions } from './leased-roles.js';
 export { type RoleGrant } from './role-leases.js';
 export { ClockCheckedLeaseAuthority, type LeaseRenewal } from './lease-authority.js';
--- a/packages/duties/src/inherited-intents.ts
+++ b/packages/duties/src/inherited-intents.ts
@@ -1,20 +1,20 @@
-/** What a new leader finds of the intents of earlier terms. */
-import { launchRequestOf, type InstanceOffering, type Intent, type LaunchRequest } from './intents.js';
+/** The intents of earlier terms that a new leader has to respect. */
+import { toLaunchRequest, type InstanceOffering, type Intent, type LaunchRequest } from './intents.js';
 
-/** What earlier terms have irrevocably begun: nothing else may be decided about these nodes. */
+/** Intents that earlier terms have irrevocably begun. The leader must make no other decision about their nodes. */
 export interface InheritedIntents {
-  /** Launches that are being executed. */
+  /** Launch requests that a role holder is executing. */
   readonly launching: LaunchRequest[];
-  /** Nodes of launches that were completed lately. */
+  /** Nodes of recently completed launches. */
   readonly launched: { names: string[]; offering: InstanceOffering }[];
-  /** Names of nodes that are being terminated: nothing may be placed on them any more. */
+  /** Names of nodes that are being terminated. No task may be placed on them any more. */
   readonly terminating: string[];
-  /** Names of nodes that were terminated lately. */
+  /** Names of recently terminated nodes. */
   readonly terminated: string[];
 }
 
-/** Sorts intents by what they mean to a new leader. Those that are only requested are void with their term. */
-export function inheritedFrom(intents: Iterable<Intent>): InheritedIntents {
+/** Sorts intents by their meaning for a new leader. Intents that are only requested became void with their term. */
+export function collectInheritedIntents(intents: Iterable<Intent>): InheritedIntents {
   const inherited: InheritedIntents = { launching: [], launched: [], terminating: [], terminated: [] };
   for (const intent of intents) {
     if (intent.state === 'requested') continue;
@@ -24,7 +24,7 @@
       continue;
     }
     const { offering, outcome } = intent;
-    if (!isCompleted) inherited.launching.push(launchRequestOf(intent));
+    if (!isCompleted) inherited.launching.push(toLaunchRequest(intent));
     else if (outcome && 'names' in outcome) inherited.launched.push({ names: outcome.names, offering });
   }
   return inherited;
--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -1,19 +1,19 @@
-/** The leader's side of intents: it records what it wants done, and hears what came of that. */
+/** The actor by which a leader records intents, and learns of their completion. */
 import { Actor, assertNever, type Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
 import {
-  INTENT_OVERHEAD_BYTES,
-  MAX_NAMES_PER_TERMINATION,
+  INTENT_FIXED_BYTES,
+  MAX_NODES_PER_TERMINATION,
   MAX_NODE_NAME_BYTES,
   RECLAIM_BATCH_WINDOW_MS,
   RETRY_DELAY_MS,
   SCALE_IN_BATCH_WINDOW_MS,
 } from './constants.js';
-import { inheritedFrom, type InheritedIntents } from './inherited-intents.js';
+import { collectInheritedIntents, type InheritedIntents } from './inherited-intents.js';
 import type { IndexedIntent, IntentIndex } from './intent-index.js';
 import { encodeIntent, intentKey } from './intent-records.js';
 import {
-  launchRequestOf,
+  toLaunchRequest,
   type Intent,
   type IntentId,
   type LaunchRefusalReason,
@@ -23,18 +23,18 @@
 import type { RoleLeases } from './role-leases.js';
 import type { TerminationRole } from './roles.js';
 
-/** What came of an intent of this term or an earlier one. */
+/** The result of an intent of this term or an earlier one. */
 export type IntentEvent =
   | { readonly kind: 'launched'; readonly request: LaunchRequest; readonly names: string[] }
   | { readonly kind: 'launchRefused'; readonly request: LaunchRequest; readonly reason: LaunchRefusalReason }
   | { readonly kind: 'terminated'; readonly names: string[] };
 
-/** What one term brings along. */
+/** The term whose intents a log records, and how its events are reported. */
 export interface IntentLogTerm {
   readonly term: number;
-  /** Condition that holds while the term goes on. */
+  /** Condition that holds until the term ends. */
   readonly fence: Condition;
-  /** Bytes: largest value of the state store. */
+  /** Size limit of one value in the state store. */
   readonly maxValueBytes: number;
   /** Called once for each intent that is completed. */
   readonly onEvent: (event: IntentEvent) => void;
@@ -42,7 +42,7 @@
 
 /** Dependencies of `IntentLog`. */
 export interface IntentLogOptions extends IntentLogTerm {
-  readonly index: IntentIndex;
+  readonly intentIndex: IntentIndex;
   readonly roleLeases: Pick<RoleLeases, 'currentGrant'>;
   readonly store: RoleStore;
   readonly clock: Clock;
@@ -54,38 +54,40 @@
   | { readonly kind: 'terminate'; readonly role: TerminationRole; readonly names: string[] }
   | { readonly kind: 'batchWindowEnded'; readonly role: TerminationRole }
   | { readonly kind: 'retryWrite'; readonly intent: Intent }
-  | { readonly kind: 'written'; readonly intent: Intent; readonly outcome: CommitOutcome }
+  | { readonly kind: 'writeEnded'; readonly intent: Intent; readonly outcome: CommitOutcome }
   | { readonly kind: 'intentChanged'; readonly entry: IndexedIntent };
 
-/** Writes the intents of one term under the condition that the term goes on. */
+/** Writes the intents of one term. Every write depends on the condition that the term has not ended. */
 export class IntentLog extends Actor<Message> {
   private sequence = 0;
-  /** Names of nodes to terminate whose batch window has not ended. */
-  private readonly batches = new Map<TerminationRole, Set<string>>();
-  /** Keys of intents whose completion was notified already, or happened before this term. */
-  private readonly notified = new Set<string>();
+  /** Names of nodes to terminate whose batch window has not ended, by role. */
+  private readonly terminationBatches = new Map<TerminationRole, Set<string>>();
+  /** Keys of intents whose completion was reported already, or happened before this term. */
+  private readonly notifiedKeys = new Set<string>();
   private readonly unsubscribe: () => void;
 
-  /** Listens to changes of the index until it is stopped. */
+  /** Creates a log that listens to changes of the index until `stop`. */
   constructor(
     private readonly options: IntentLogOptions,
     onFailure: (error: unknown) => void,
   ) {
     super(options.log, onFailure);
-    for (const { key } of options.index.listOldestFirst(({ state }) => state === 'completed'))
-      this.notified.add(key);
-    this.unsubscribe = options.index.onChange((entry) => this.send({ kind: 'intentChanged', entry }));
+    for (const { key } of options.intentIndex.listOldestFirst(({ state }) => state === 'completed'))
+      this.notifiedKeys.add(key);
+    this.unsubscribe = options.intentIndex.onChange((entry) => this.send({ kind: 'intentChanged', entry }));
   }
 
-  /** Ends the log: nothing more is written or notified. */
+  /** Closes the log. Nothing is written or reported afterwards. */
   override stop(): void {
     super.stop();
     this.unsubscribe();
   }
 
-  /** What earlier terms have begun; ask as the term begins. */
+  /** Returns the intents that earlier terms have irrevocably begun. Call it when the term begins. */
   inheritedIntents(): InheritedIntents {
-    return inheritedFrom(this.options.index.listOldestFirst(() => true).map(({ intent }) => intent));
+    return collectInheritedIntents(
+      this.options.intentIndex.listOldestFirst(() => true).map(({ intent }) => intent),
+    );
   }
 
   protected receive(message: Message): void {
@@ -93,13 +95,13 @@
       case 'launch':
         return this.requestLaunch(message.request);
       case 'terminate':
-        return this.addToBatch(message.role, message.names);
+        return this.addToTerminationBatch(message.role, message.names);
       case 'batchWindowEnded':
-        return this.writeBatch(message.role);
+        return this.writeTerminationBatch(message.role);
       case 'retryWrite':
-        return this.write(message.intent);
-      case 'written':
-        return this.onWritten(message.intent, message.outcome);
+        return this.writeIntent(message.intent);
+      case 'writeEnded':
+        return this.onWriteEnded(message.intent, message.outcome);
       case 'intentChanged':
         return this.notifyCompletion(message.entry);
       default:
@@ -107,13 +109,13 @@
     }
   }
 
-  private nextId(): IntentId {
+  private nextIntentId(): IntentId {
     return { term: this.options.term, sequence: ++this.sequence };
   }
 
   private requestLaunch({ name, offering, count }: LaunchRequest): void {
-    this.write({
-      id: this.nextId(),
+    this.writeIntent({
+      id: this.nextIntentId(),
       state: 'requested',
       fencingToken: 0,
       role: 'rent',
@@ -123,55 +125,62 @@
     });
   }
 
-  private addToBatch(role: TerminationRole, names: string[]): void {
-    let batch = this.batches.get(role);
+  private addToTerminationBatch(role: TerminationRole, names: string[]): void {
+    let batch = this.terminationBatches.get(role);
     if (!batch) {
       batch = new Set();
-      this.batches.set(role, batch);
+      this.terminationBatches.set(role, batch);
       const windowMs = role === 'return' ? SCALE_IN_BATCH_WINDOW_MS : RECLAIM_BATCH_WINDOW_MS;
       this.options.clock.after(windowMs, () => this.send({ kind: 'batchWindowEnded', role }));
     }
     for (const name of names) batch.add(name);
   }
 
-  private writeBatch(role: TerminationRole): void {
-    const names = [...(this.batches.get(role) ?? [])];
-    this.batches.delete(role);
-    const size = this.maxNamesPerIntent();
-    for (let start = 0; start < names.length; start += size) {
-      const part = names.slice(start, start + size);
-      this.write({ id: this.nextId(), state: 'requested', fencingToken: 0, role, names: part });
+  private writeTerminationBatch(role: TerminationRole): void {
+    const names = [...(this.terminationBatches.get(role) ?? [])];
+    this.terminationBatches.delete(role);
+    const maxNames = this.maxNamesPerIntent();
+    for (let start = 0; start < names.length; start += maxNames) {
+      const namesOfIntent = names.slice(start, start + maxNames);
+      this.writeIntent({
+        id: this.nextIntentId(),
+        state: 'requested',
+        fencingToken: 0,
+        role,
+        names: namesOfIntent,
+      });
     }
   }
 
   private maxNamesPerIntent(): number {
-    const usableBytes = this.options.maxValueBytes - INTENT_OVERHEAD_BYTES;
-    const fitting = Math.floor(usableBytes / MAX_NODE_NAME_BYTES);
-    return Math.max(1, Math.min(MAX_NAMES_PER_TERMINATION, fitting));
+    const usableBytes = this.options.maxValueBytes - INTENT_FIXED_BYTES;
+    const namesThatFit = Math.floor(usableBytes / MAX_NODE_NAME_BYTES);
+    return Math.max(1, Math.min(MAX_NODES_PER_TERMINATION, namesThatFit));
   }
 
-  /** Where this process holds the role as well, the request and the commitment to execute it are one write. */
-  private write(intent: Intent): void {
+  /** Writes an intent. If this process also holds the role, the same write commits the intent as well. */
+  private writeIntent(intent: Intent): void {
     const key = intentKey(intent.id);
     const grant = this.options.roleLeases.currentGrant(intent.role);
-    const written: Intent = grant
+    const intentToStore: Intent = grant
       ? { ...intent, state: 'committed', fencingToken: grant.fencingToken }
       : intent;
     const conditions = [this.options.fence, ...(grant ? [grant.fence] : []), { key, modRevision: 0 }];
     void this.options.store
-      .commit(conditions, [{ key, value: encodeIntent(written) }])
-      .then((outcome) => this.send({ kind: 'written', intent, outcome }));
+      .commit(conditions, [{ key, value: encodeIntent(intentToStore) }])
+      .then((outcome) => this.send({ kind: 'writeEnded', intent, outcome }));
   }
 
-  private onWritten(intent: Intent, outcome: CommitOutcome): void {
+  private onWriteEnded(intent: Intent, outcome: CommitOutcome): void {
     if (outcome === 'applied') return;
-    if (outcome === 'refused') return this.retryLater(intent);
-    // A conflict means that the term is over, or that an earlier attempt was applied late. Only a read can tell.
+    if (outcome === 'refused') return this.scheduleRetry(intent);
+    // A conflict means that the term is over, or that an earlier attempt was applied late. Only a read can tell which.
     this.options.store.linearizableRead().then(
       () => {
-        if (!this.options.index.get(intentKey(intent.id)) && this.isTermCurrent()) this.retryLater(intent);
+        if (!this.options.intentIndex.get(intentKey(intent.id)) && this.isTermCurrent())
+          this.scheduleRetry(intent);
       },
-      () => this.retryLater(intent),
+      () => this.scheduleRetry(intent),
     );
   }
 
@@ -180,24 +189,24 @@
     return this.options.store.get(key)?.modRevision === modRevision;
   }
 
-  private retryLater(intent: Intent): void {
+  private scheduleRetry(intent: Intent): void {
     this.options.clock.after(RETRY_DELAY_MS, () => this.send({ kind: 'retryWrite', intent }));
   }
 
-  /** Each completion once, though the replica may show the same intent several times. */
+  /** Reports the completion of an intent once, although the replica may show the same intent several times. */
   private notifyCompletion({ key, intent }: IndexedIntent): void {
-    if (intent.state !== 'completed' || this.notified.has(key)) return;
-    this.notified.add(key);
-    const event = completionEvent(intent);
+    if (intent.state !== 'completed' || this.notifiedKeys.has(key)) return;
+    this.notifiedKeys.add(key);
+    const event = toCompletionEvent(intent);
     if (event) this.options.onEvent(event);
   }
 }
 
-function completionEvent(intent: Intent): IntentEvent | undefined {
+function toCompletionEvent(intent: Intent): IntentEvent | undefined {
   if (intent.role !== 'rent') return { kind: 'terminated', names: intent.names };
   const { outcome } = intent;
   if (!outcome) return undefined;
-  const request = launchRequestOf(intent);
+  const request = toLaunchRequest(intent);
   return 'names' in outcome
     ? { kind: 'launched', request, names: outcome.names }
     : { kind: 'launchRefused', request, reason: outcome.refused };
--- a/packages/duties/src/intents.ts
+++ b/packages/duties/src/intents.ts
@@ -1,58 +1,62 @@
-/** Intents: what a leader wants done at the cloud, recorded before it is done. */
+/**
+ * Intents: changes that a leader wants made at the cloud. They are recorded in the state store before they are made.
+ */
 import type { IntentRole, TerminationRole } from './roles.js';
 
-/** An instance type in a zone, spot or on demand. */
+/** An instance type in a zone, as a spot or an on-demand instance. */
 export interface InstanceOffering {
   /** Name of the instance type. */
   readonly type: string;
   readonly zone: string;
-  /** Whether the cloud may interrupt the instance. */
+  /** Whether it is a spot instance, which the cloud may interrupt. */
   readonly spot: boolean;
 }
 
-/** Identifies an intent for ever: terms are never used again, nor sequence numbers within one. */
+/** Identifies an intent permanently, as neither a term nor a sequence number within a term is ever reused. */
 export interface IntentId {
-  /** Term of the leader that requested it. */
+  /** Term of the leader that requested the intent. */
   readonly term: number;
-  /** From 1 upwards within the term. */
+  /** Number of the intent within its term, counted from 1. */
   readonly sequence: number;
 }
 
 /**
- * `requested`: the leader wants it; void once its term is over. `committed`: a role holder has recorded that it executes
- * it; from then on it can't be withdrawn. `completed`: executed for certain, or refused by the cloud.
+ * The state of an intent:
+ * - `requested`: The leader has recorded the intent. It becomes void when the leader's term ends.
+ * - `committed`: A role holder has recorded that it will execute the intent, which can't be withdrawn any more.
+ * - `completed`: The intent was certainly executed, or the cloud refused it.
  */
 export type IntentState = 'requested' | 'committed' | 'completed';
 
-/** What all intents have in common. */
+/** The fields that all intents have in common. */
 export interface IntentBase {
   readonly id: IntentId;
-  /** The role whose holder executes it. */
+  /** The role whose holder executes the intent. */
   readonly role: IntentRole;
   readonly state: IntentState;
-  /** Fencing token of the role holder that wrote it last; 0: only the leader did. */
+  /** Fencing token of the role holder that wrote the intent last, or 0 if only the leader has written it. */
   readonly fencingToken: number;
 }
 
-/** Why the cloud launched nothing. The values are stored as they stand. */
+/** Why the cloud launched nothing. The values are stored unchanged. */
 export type LaunchRefusalReason = 'no capacity' | 'trouble';
 
-/** What a completed launch brought: names of nodes, or why there are none. */
+/** The result of a completed launch: either the names of the new nodes, or the reason why there are none. */
 export type LaunchOutcome = { readonly names: string[] } | { readonly refused: LaunchRefusalReason };
 
 /** A request to the cloud for new nodes. */
 export interface LaunchRequest {
-  /** Identifies the request at the cloud for ever: repeated under the same name it launches nothing new. */
+  /** Identifies the request at the cloud permanently. A request repeated under the same name launches nothing new. */
   readonly name: string;
   readonly offering: InstanceOffering;
   /** Number of nodes. */
   readonly count: number;
 }
 
-/** Nodes to launch. */
+/** An intent to launch nodes. */
 export interface LaunchIntent extends IntentBase {
   readonly role: 'rent';
-  /** The request's name. */
+  /** Name of the request to the cloud. */
   readonly requestName: string;
   readonly offering: InstanceOffering;
   /** Number of nodes. */
@@ -61,21 +65,22 @@
   readonly outcome?: LaunchOutcome;
 }
 
-/** Nodes to terminate, by name. */
+/** An intent to terminate nodes. */
 export interface TerminationIntent extends IntentBase {
   readonly role: TerminationRole;
+  /** Names of the nodes. */
   readonly names: string[];
 }
 
-/** What a leader wants done at the cloud. */
+/** A change that a leader wants made at the cloud. */
 export type Intent = LaunchIntent | TerminationIntent;
 
-/** Orders intents by age: negative if `a` is the older one. */
+/** Compares intents by age. The result is negative if `a` is older than `b`. */
 export const compareIntentIds = (a: IntentId, b: IntentId): number =>
   a.term - b.term || a.sequence - b.sequence;
 
-/** The request by which an intent is executed. */
-export const launchRequestOf = ({ requestName, offering, count }: LaunchIntent): LaunchRequest => ({
+/** Returns the request to the cloud that executes an intent. */
+export const toLaunchRequest = ({ requestName, offering, count }: LaunchIntent): LaunchRequest => ({
   name: requestName,
   offering,
   count,
--- a/packages/duties/src/lease-authority.ts
+++ b/packages/duties/src/lease-authority.ts
@@ -1,51 +1,55 @@
-/** The lease authority of the role leases, guarded against a steady clock that goes back. */
+/** The lease authority of the role leases, which also detects a steady clock that goes backwards. */
 import { LeaseAuthority } from '@pumicehinge/runtime';
 import { LEASE_SAFETY_MARGIN_MS, MAX_CLOCK_DRIFT_RATIO } from './constants.js';
 
-/** A request to grant or renew a lease, as it was begun. */
+/** The start of a request to grant or renew a lease. */
 export interface LeaseRenewal {
-  /** Steady ms right before the request. */
+  /** Time of the steady clock right before the request was sent. */
   readonly requestedMs: number;
-  /** How often the steady clock had been seen to go back by then. */
-  readonly clockSetbacks: number;
+  /** Number of times that the steady clock had been observed to go backwards before the request. */
+  readonly clockRegressionCount: number;
 }
 
 /**
- * Until when a lease that this process holds has certainly not expired. Unlike a plain `LeaseAuthority` it observes the
- * clock with each call: a steady clock that is seen to go back ends the authority until a renewal requested after that. The
- * time of day plays no part. Pure: times are passed in, as milliseconds of our steady clock.
+ * Tells whether a lease that this process holds has certainly not expired. Unlike a plain `LeaseAuthority`, it observes
+ * the clock at each call. A steady clock that goes backwards ends the authority until a renewal that is requested after
+ * that. The time of day is not used. The class reads no clock itself: all times are passed in, as milliseconds of the
+ * process's steady clock.
  */
 export class ClockCheckedLeaseAuthority {
   private readonly authority = new LeaseAuthority({
     safetyMarginMs: LEASE_SAFETY_MARGIN_MS,
     maxClockDriftRatio: MAX_CLOCK_DRIFT_RATIO,
   });
-  private latestMs = -Infinity;
-  private setbacks = 0;
+  private latestObservedMs = -Infinity;
+  private observedRegressionCount = 0;
 
-  /** Call right before a renewal is requested. */
+  /** Records the start of a renewal. Call it right before the request is sent. */
   beginRenewal(nowMs: number): LeaseRenewal {
-    this.observe(nowMs);
-    return { requestedMs: nowMs, clockSetbacks: this.setbacks };
+    this.observeClock(nowMs);
+    return { requestedMs: nowMs, clockRegressionCount: this.observedRegressionCount };
   }
 
-  /** The lease was granted or renewed. This also revives an expired authority, as the lease itself lived on. */
-  confirmRenewal({ requestedMs, clockSetbacks }: LeaseRenewal, ttlMs: number, nowMs: number): void {
-    this.observe(nowMs);
-    if (clockSetbacks === this.setbacks) this.authority.renew(requestedMs, ttlMs);
+  /**
+   * Records that the lease was granted or renewed. This also restores an expired authority, as the lease itself is
+   * alive.
+   */
+  confirmRenewal({ requestedMs, clockRegressionCount }: LeaseRenewal, ttlMs: number, nowMs: number): void {
+    this.observeClock(nowMs);
+    if (clockRegressionCount === this.observedRegressionCount) this.authority.renew(requestedMs, ttlMs);
   }
 
-  /** Whether the lease can be relied on; ask right before what rests on it. */
+  /** Whether the lease has certainly not expired. Call it right before an action that depends on the lease. */
   isValid(nowMs: number): boolean {
-    this.observe(nowMs);
+    this.observeClock(nowMs);
     return this.authority.isValid(nowMs);
   }
 
-  private observe(nowMs: number): void {
-    if (nowMs < this.latestMs) {
-      this.setbacks++;
+  private observeClock(nowMs: number): void {
+    if (nowMs < this.latestObservedMs) {
+      this.observedRegressionCount++;
       this.authority.revoke();
     }
-    this.latestMs = nowMs;
+    this.latestObservedMs = nowMs;
   }
 }
--- a/packages/duties/src/lease-session.ts
+++ b/packages/duties/src/lease-session.ts
@@ -1,46 +1,49 @@
-/** A lease of the state store that one process keeps alive, and on which all its roles rest. */
+/** A lease of the state store that one process keeps alive, and to which all of its roles are attached. */
 import { IDLE_LEASE_TIMEOUT_MS, LEASE_RENEWAL_INTERVAL_MS, ROLE_LEASE_TTL_MS } from './constants.js';
 import type { ClockCheckedLeaseAuthority, LeaseRenewal } from './lease-authority.js';
 import type { Revision } from './ports.js';
 
-/** What a session begins with. */
+/** The initial state of a `LeaseSession`. */
 export interface LeaseSessionOptions {
-  /** Identifies the session in holder records; no other session ever has the same. */
+  /** Identifies the session in holder records. No other session ever has the same id. */
   readonly id: string;
+  /** Id of the lease in the state store. */
   readonly leaseId: Revision;
   readonly authority: ClockCheckedLeaseAuthority;
-  /** The request by which the lease was granted. */
-  readonly grant: LeaseRenewal;
-  /** Steady ms. */
+  /** The request that granted the lease. */
+  readonly grantRequest: LeaseRenewal;
+  /** Current time of the steady clock. */
   readonly nowMs: number;
 }
 
-/** State of one lease: when it is renewed, how long it can be relied on, and since when it is unused. */
+/** The state of one lease: when its next renewal is due, whether it is still valid, and since when it is unused. */
 export class LeaseSession {
   /** Identifies the session in holder records. */
   readonly id: string;
-  /** The lease of the state store. */
+  /** Id of the lease in the state store. */
   readonly leaseId: Revision;
   private readonly authority: ClockCheckedLeaseAuthority;
   private renewalDueMs: number;
   private isRenewing = false;
   private idleSinceMs: number;
 
-  /** Starts with the renewal schedule of a lease that was just granted. */
-  constructor({ id, leaseId, authority, grant, nowMs }: LeaseSessionOptions) {
+  /** Creates the session of a lease that was just granted. */
+  constructor({ id, leaseId, authority, grantRequest, nowMs }: LeaseSessionOptions) {
     this.id = id;
     this.leaseId = leaseId;
     this.authority = authority;
-    this.renewalDueMs = grant.requestedMs + LEASE_RENEWAL_INTERVAL_MS;
+    this.renewalDueMs = grantRequest.requestedMs + LEASE_RENEWAL_INTERVAL_MS;
     this.idleSinceMs = nowMs;
   }
 
-  /** Whether the lease can be relied on. It also observes the clock, so that one that goes back is noticed. */
+  /**
+   * Whether the lease has certainly not expired. The call also observes the clock, to detect one that goes backwards.
+   */
   isValid(nowMs: number): boolean {
     return this.authority.isValid(nowMs);
   }
 
-  /** The renewal to request now; undefined if none is due, or one is still under way. */
+  /** Returns the renewal to request now, or undefined if none is due or one is still in progress. */
   beginDueRenewal(nowMs: number): LeaseRenewal | undefined {
     if (this.isRenewing || nowMs < this.renewalDueMs) return undefined;
     this.isRenewing = true;
@@ -48,22 +51,22 @@
     return this.authority.beginRenewal(nowMs);
   }
 
-  /** A renewal was answered, or given up. */
+  /** Records that the renewal in progress was answered or has timed out. */
   endRenewal(): void {
     this.isRenewing = false;
   }
 
-  /** The renewal succeeded. */
+  /** Records that a renewal succeeded. */
   confirmRenewal(renewal: LeaseRenewal, nowMs: number): void {
     this.authority.confirmRenewal(renewal, ROLE_LEASE_TTL_MS, nowMs);
   }
 
-  /** A role rests on the lease, or soon may. */
+  /** Records that a role is attached to the lease, or may soon be. */
   markUsed(nowMs: number): void {
     this.idleSinceMs = nowMs;
   }
 
-  /** Whether the lease has been unused for so long that it is better ended. */
+  /** Whether the lease has been unused for so long that it should be revoked. */
   isIdle(nowMs: number): boolean {
     return nowMs - this.idleSinceMs >= IDLE_LEASE_TIMEOUT_MS;
   }
--- a/packages/duties/src/leased-roles.ts
+++ b/packages/duties/src/leased-roles.ts
@@ -1,7 +1,7 @@
-/** The leased roles of one controller, put together: leases, execution of intents, clean-up. */
+/** The entry point to the leased roles of one controller. It combines role leases, intent execution and cleanup. */
 import type { Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
-import { RESTART_DELAY_MS } from './constants.js';
+import { ACTOR_RESTART_DELAY_MS } from './constants.js';
 import { IntentExecutor } from './intent-executor.js';
 import { IntentIndex } from './intent-index.js';
 import { IntentLog, type IntentLogTerm } from './intent-log.js';
@@ -17,65 +17,68 @@
   readonly store: RoleStore;
   readonly cloudProvider: CloudProvider;
   readonly currentLeader: () => CurrentLeader | undefined;
-  /** Finds records besides intents that nobody reads any more, at most `limit` of them. */
+  /** Finds at most `limit` records other than intents that nobody reads any more. */
   readonly obsoleteRecords: (limit: number) => ObsoleteRecord[];
-  /** Most puts and deletes in one transaction. */
+  /** Limit of puts and deletes in one transaction of the state store. */
   readonly maxTransactionOperations: number;
-  /** Requests a second to the cloud, by role. */
+  /** Rate limit of the calls to the cloud, by role. */
   readonly cloudRequestsPerSecond: Readonly<Record<IntentRole, number>>;
   readonly clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniformly distributed in [0, 1). */
   readonly random: () => number;
   readonly log: Logger;
 }
 
-/** The actors that share the leases of this process; one that fails takes the others with it. */
+/** The actors that share the role leases of this process. If one of them fails, all of them are restarted. */
 interface RoleActors {
   readonly leases: RoleLeases;
   readonly executors: readonly IntentExecutor[];
   readonly garbageCollector: RecordGarbageCollector;
 }
 
-/** One controller becomes a candidate for vacant roles, and does the work of those that it holds. */
+/** Campaigns for vacant roles on behalf of one controller, and does the work of the roles that the controller holds. */
 export class LeasedRoles {
-  private readonly index: IntentIndex;
+  private readonly intentIndex: IntentIndex;
   private actors: RoleActors;
 
-  /** Follows the intents at once; takes part in nothing before `start`. */
+  /** Creates the actors, and follows the stored intents at once. The actors do nothing before `start`. */
   constructor(private readonly options: LeasedRolesOptions) {
-    this.index = new IntentIndex(options.store, options.log);
+    this.intentIndex = new IntentIndex(options.store, options.log);
     this.actors = this.createActors();
   }
 
-  /** Begins to campaign for roles and to do their work. */
+  /** Starts to campaign for roles and to do the work of held ones. */
   start(): void {
-    for (const actor of this.allActors()) actor.start();
+    for (const actor of this.listActors()) actor.start();
   }
 
-  /** Ends all work. Held roles become vacant when the lease expires. */
+  /** Stops all work. Held roles become vacant when the lease expires. */
   stop(): void {
-    for (const actor of this.allActors()) actor.stop();
+    for (const actor of this.listActors()) actor.stop();
   }
 
-  /** The roles that this process holds, as far as its replica shows. */
+  /** Lists the roles that this process holds according to its replica. */
   heldRoles(): RoleGrant[] {
     return ROLES.map((role) => this.actors.leases.currentGrant(role)).filter((grant) => grant !== undefined);
   }
 
-  /** Gives a held role up, and leaves it to the other controllers for a while. */
+  /** Resigns a held role. This process does not campaign for it again before a cooldown has passed. */
   resign(role: Role, reason: string): void {
     this.actors.leases.resign(role, reason);
   }
 
-  /** The log for the intents of a term that this process leads; the caller stops it when the term ends. */
+  /** Opens the intent log of a term that this process leads. The caller stops the log when the term ends. */
   openIntentLog(term: IntentLogTerm, onFailure: (error: unknown) => void): IntentLog {
     const { store, clock, log } = this.options;
-    // The leases are looked up at each call: a restart replaces them.
+    // The leases are looked up at each call because a restart replaces them.
     const roleLeases = { currentGrant: (role: Role) => this.actors.leases.currentGrant(role) };
-    return new IntentLog({ ...term, index: this.index, roleLeases, store, clock, log }, onFailure);
+    return new IntentLog(
+      { ...term, intentIndex: this.intentIndex, roleLeases, store, clock, log },
+      onFailure,
+    );
   }
 
-  private allActors(): (RoleLeases | IntentExecutor | RecordGarbageCollector)[] {
+  private listActors(): (RoleLeases | IntentExecutor | RecordGarbageCollector)[] {
     const { leases, executors, garbageCollector } = this.actors;
     return [leases, ...executors, garbageCollector];
   }
@@ -85,22 +88,35 @@
     const { cloudProvider, cloudRequestsPerSecond, obsoleteRecords, maxTransactionOperations } = this.options;
     const onFailure = (): void => this.restart();
     const leases = new RoleLeases({ member, store, currentLeader, clock, random, log }, onFailure);
-    const common = { roleLeases: leases, index: this.index, store, currentLeader, clock, log };
+    const commonOptions = {
+      roleLeases: leases,
+      intentIndex: this.intentIndex,
+      store,
+      currentLeader,
+      clock,
+      log,
+    };
     const executors = ROLES.filter((role) => role !== 'cleanup').map((role) => {
-      const rate = cloudRequestsPerSecond[role];
-      return new IntentExecutor({ ...common, role, cloudProvider, cloudRequestsPerSecond: rate }, onFailure);
+      const requestsPerSecond = cloudRequestsPerSecond[role];
+      return new IntentExecutor(
+        { ...commonOptions, role, cloudProvider, cloudRequestsPerSecond: requestsPerSecond },
+        onFailure,
+      );
     });
     const garbageCollector = new RecordGarbageCollector(
-      { ...common, obsoleteRecords, maxTransactionOperations },
+      { ...commonOptions, findObsoleteRecords: obsoleteRecords, maxTransactionOperations },
       onFailure,
     );
     return { leases, executors, garbageCollector };
   }
 
-  /** All actors begin anew with another session: what the former one held is found in the state store, and freed. */
+  /**
+   * Replaces all actors. The new actors use a new lease session. They find the roles of the previous session in the
+   * state store, and release them.
+   */
   private restart(): void {
     this.stop();
     this.actors = this.createActors();
-    this.options.clock.after(RESTART_DELAY_MS, () => this.start());
+    this.options.clock.after(ACTOR_RESTART_DELAY_MS, () => this.start());
   }
 }
--- a/packages/duties/src/previous-process-roles.ts
+++ b/packages/duties/src/previous-process-roles.ts
@@ -1,35 +1,35 @@
-/** Roles that a former process of the same controller still holds when a process starts. */
+/** The roles that a previous process of the same controller still holds when this process starts. */
 import { decodeHolder, holderKey } from './holder-records.js';
 import type { Revision, RoleStore } from './ports.js';
 import { ROLES, type Role } from './roles.js';
 
 /**
- * Recorded once, at the start: two processes of one controller that run beside each other must not take roles from each
- * other in turn.
+ * Recognizes the holder keys that a previous process of this controller wrote. They are recorded only once, at the
+ * start, so that two processes of one controller that run at the same time do not keep taking roles from each other.
  */
-export class FormerHoldings {
-  private revisions: ReadonlyMap<Role, Revision> | undefined;
+export class PreviousProcessRoles {
+  private holderKeyRevisions: ReadonlyMap<Role, Revision> | undefined;
 
-  /** `member`: this controller's name. */
+  /** `member` is this controller's name. */
   constructor(
     private readonly member: string,
     private readonly store: RoleStore,
   ) {}
 
-  /** Records the holders' keys as they are at the first call; the store must be ready. */
+  /** Records the current holder keys at the first call, and does nothing at later calls. The store must be ready. */
   recordOnce(): void {
-    if (this.revisions) return;
-    const revisions = new Map<Role, Revision>();
+    if (this.holderKeyRevisions) return;
+    const holderKeyRevisions = new Map<Role, Revision>();
     for (const role of ROLES) {
       const stored = this.store.get(holderKey(role));
       if (stored && decodeHolder(stored.value)?.member === this.member)
-        revisions.set(role, stored.modRevision);
+        holderKeyRevisions.set(role, stored.modRevision);
     }
-    this.revisions = revisions;
+    this.holderKeyRevisions = holderKeyRevisions;
   }
 
-  /** Whether this revision of a holder's key is one that a former process wrote. */
-  includes(role: Role, modRevision: Revision): boolean {
-    return this.revisions?.get(role) === modRevision;
+  /** Whether a previous process wrote this revision of the role's holder key. */
+  isHeldByPreviousProcess(role: Role, modRevision: Revision): boolean {
+    return this.holderKeyRevisions?.get(role) === modRevision;
   }
 }
--- a/packages/duties/src/role-acquisition.ts
+++ b/packages/duties/src/role-acquisition.ts
@@ -1,4 +1,4 @@
-/** The transaction by which a vacant role is acquired. */
+/** The transaction that acquires a vacant role. */
 import {
   encodeFencingToken,
   encodeHolder,
@@ -10,7 +10,7 @@
 import type { Condition, Operation, RoleStore } from './ports.js';
 import type { Role } from './roles.js';
 
-/** Who acquires which role, on which lease. */
+/** A role to acquire, the controller that acquires it, and the lease to attach it to. */
 export interface RoleCandidate {
   readonly role: Role;
   /** Name of the controller. */
@@ -18,19 +18,22 @@
   readonly session: LeaseSession;
 }
 
-/** A transaction to commit, and the fencing token that it issues. */
+/** The transaction that acquires a role, and the fencing token that it issues. */
 export interface RoleAcquisition {
   readonly fencingToken: number;
   readonly conditions: Condition[];
   readonly operations: Operation[];
 }
 
-/** Writes the holder's key, if nobody holds the role, and the next fencing token, if nobody else issues it. */
-export function roleAcquisition(
+/**
+ * Builds a transaction that writes the holder's key and the next fencing token, if nobody holds the role or issues that
+ * token.
+ */
+export function buildRoleAcquisition(
   store: Pick<RoleStore, 'get'>,
   { role, member, session }: RoleCandidate,
 ): RoleAcquisition {
-  const key = holderKey(role);
+  const holderRecordKey = holderKey(role);
   const tokenKey = fencingTokenKey(role);
   const storedToken = store.get(tokenKey);
   const fencingToken = nextFencingToken(storedToken);
@@ -38,11 +41,11 @@
   return {
     fencingToken,
     conditions: [
-      { key, modRevision: 0 },
+      { key: holderRecordKey, modRevision: 0 },
       { key: tokenKey, modRevision: storedToken?.modRevision ?? 0 },
     ],
     operations: [
-      { key, value: holder, leaseId: session.leaseId },
+      { key: holderRecordKey, value: holder, leaseId: session.leaseId },
       { key: tokenKey, value: encodeFencingToken(fencingToken) },
     ],
   };
--- a/packages/duties/src/role-leases.ts
+++ b/packages/duties/src/role-leases.ts
@@ -3,25 +3,25 @@
 import type { Logger } from 'pino';
 import { CandidacySchedule } from './candidacy-schedule.js';
 import {
-  CANDIDACY_RETRY_MS,
+  CANDIDACY_RETRY_DELAY_MS,
   LEASE_RENEWAL_TIMEOUT_MS,
   ROLE_CHECK_INTERVAL_MS,
   ROLE_LEASE_TTL_MS,
 } from './constants.js';
-import { FormerHoldings } from './former-holdings.js';
+import { PreviousProcessRoles } from './previous-process-roles.js';
 import { decodeHolder, holderKey } from './holder-records.js';
 import { LeaderTracker } from './leader-tracker.js';
 import { ClockCheckedLeaseAuthority, type LeaseRenewal } from './lease-authority.js';
 import { LeaseSession } from './lease-session.js';
 import type { Condition, CurrentLeader, KeyValue, Revision, RoleStore } from './ports.js';
-import { roleAcquisition } from './role-acquisition.js';
+import { buildRoleAcquisition } from './role-acquisition.js';
 import { LEADER_PREFERRED_ROLES, ROLES, type Role } from './roles.js';
 
-/** That this process holds a role, as far as its replica of the state store shows. */
+/** Describes a role that this process holds according to its replica of the state store. */
 export interface RoleGrant {
   readonly role: Role;
   readonly fencingToken: number;
-  /** Condition of every write of the holder: fails once another one holds the role. */
+  /** Condition of every write of the holder. It fails once another process holds the role. */
   readonly fence: Condition;
 }
 
@@ -32,66 +32,71 @@
   readonly store: RoleStore;
   readonly currentLeader: () => CurrentLeader | undefined;
   readonly clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniformly distributed in [0, 1). */
   readonly random: () => number;
   readonly log: Logger;
 }
 
-/** The answer to a request for a lease; without an id none was granted. */
-interface LeaseGranted {
-  readonly kind: 'leaseGranted';
+/** The end of a request for a lease. */
+interface LeaseRequestEnded {
+  readonly kind: 'leaseRequestEnded';
   readonly renewal: LeaseRenewal;
   readonly authority: ClockCheckedLeaseAuthority;
+  /** Undefined if no lease was granted. */
   readonly leaseId: Revision | undefined;
 }
 
-/** The answer to a renewal. */
-interface LeaseRenewed {
-  readonly kind: 'leaseRenewed';
+/** The end of a renewal. */
+interface RenewalEnded {
+  readonly kind: 'renewalEnded';
   readonly session: LeaseSession;
   readonly renewal: LeaseRenewal;
-  /** Undefined: not known. */
-  readonly alive: boolean | undefined;
+  /** Whether the lease is alive, or undefined if that is unknown. */
+  readonly isAlive: boolean | undefined;
 }
 
 type Message =
-  | LeaseGranted
-  | LeaseRenewed
+  | LeaseRequestEnded
+  | RenewalEnded
   | { readonly kind: 'candidacyEnded' }
   | { readonly kind: 'resign'; readonly role: Role; readonly reason: string };
 
 /**
- * Whoever finds a role's key gone writes it again, attached to its lease, and raises the fencing token, in one conditional
- * transaction. This process holds a role exactly while the key names its session: so an answer that was lost, or a
- * transaction that was applied late, needs no handling of its own.
+ * Acquires vacant roles and keeps them by a lease. A candidate that finds no holder key for a role writes that key,
+ * attached to its lease, and raises the fencing token, in one conditional transaction. This process holds a role
+ * exactly while the key names its session. A lost answer or a transaction that is applied late therefore needs no
+ * special handling.
  */
 export class RoleLeases extends PeriodicActor<Message> {
   private session: LeaseSession | undefined;
   private isRequestingLease = false;
   private isCampaigning = false;
   private nextCandidacyMs = -Infinity;
-  private readonly leader: LeaderTracker;
-  private readonly candidacies: CandidacySchedule;
-  /** Steady ms at which this process was first seen to hold each of its roles. */
+  private readonly leaderTracker: LeaderTracker;
+  private readonly candidacySchedule: CandidacySchedule;
+  /** Time of the steady clock at which this process was first seen to hold each of its roles. */
   private readonly heldSinceMs = new Map<Role, number>();
-  private readonly formerHoldings: FormerHoldings;
+  private readonly previousProcessRoles: PreviousProcessRoles;
 
-  /** Does nothing before `start`. */
+  /** Creates an actor that does nothing before `start`. */
   constructor(
     private readonly options: RoleLeasesOptions,
     onFailure: (error: unknown) => void,
   ) {
     super(options.clock, ROLE_CHECK_INTERVAL_MS, options.log, onFailure);
-    this.formerHoldings = new FormerHoldings(options.member, options.store);
-    this.leader = new LeaderTracker(options.member, options.currentLeader);
-    this.candidacies = new CandidacySchedule({
-      leader: this.leader,
-      heldCount: () => this.heldCount(),
+    this.previousProcessRoles = new PreviousProcessRoles(options.member, options.store);
+    this.leaderTracker = new LeaderTracker(options.member, options.currentLeader);
+    this.candidacySchedule = new CandidacySchedule({
+      leaderTracker: this.leaderTracker,
+      countHeldRoles: () => this.countHeldRoles(),
       random: options.random,
     });
   }
 
-  /** The grant if this process holds the role, as far as its replica shows; writes under its fence are safe. */
+  /**
+   * Returns the grant if this process holds the role according to its replica, and undefined otherwise. Writes that
+   * depend on the fence of the grant are safe even if the replica is stale.
+   */
   currentGrant(role: Role): RoleGrant | undefined {
     if (!this.session) return undefined;
     const key = holderKey(role);
@@ -101,12 +106,12 @@
     return { role, fencingToken: holder.fencingToken, fence: { key, modRevision: stored.modRevision } };
   }
 
-  /** Whether the lease has certainly not expired; ask right before a call that no fence guards. */
+  /** Whether the lease has certainly not expired. Call it right before a request that no fence protects. */
   isLeaseValid(): boolean {
     return this.session?.isValid(this.nowMs()) ?? false;
   }
 
-  /** Gives a held role up, and leaves it to the other controllers for a while. */
+  /** Resigns a held role. This process does not campaign for it again before a cooldown has passed. */
   resign(role: Role, reason: string): void {
     this.send({ kind: 'resign', role, reason });
   }
@@ -114,16 +119,16 @@
   protected receive(message: Message | Tick): void {
     switch (message.kind) {
       case 'tick':
-        return this.check();
-      case 'leaseGranted':
-        return this.onLeaseGranted(message);
-      case 'leaseRenewed':
-        return this.onLeaseRenewed(message);
+        return this.runPeriodicChecks();
+      case 'leaseRequestEnded':
+        return this.onLeaseRequestEnded(message);
+      case 'renewalEnded':
+        return this.onRenewalEnded(message);
       case 'candidacyEnded':
         this.isCampaigning = false;
         return;
       case 'resign':
-        return this.giveUpRole(message.role, message.reason);
+        return this.resignHeldRole(message.role, message.reason);
       default:
         return assertNever(message);
     }
@@ -133,21 +138,21 @@
     return this.options.clock.steadyMs();
   }
 
-  private check(): void {
+  private runPeriodicChecks(): void {
     const nowMs = this.nowMs();
-    // Even when the answer isn't needed, a clock that goes back must be noticed.
+    // The result is not needed here, but the call detects a clock that goes backwards.
     this.session?.isValid(nowMs);
     this.renewLeaseIfDue(nowMs);
     if (!this.options.store.isReady()) return;
-    this.formerHoldings.recordOnce();
-    this.leader.observe(nowMs);
+    this.previousProcessRoles.recordOnce();
+    this.leaderTracker.observe(nowMs);
     for (const role of ROLES) this.checkRole(role, nowMs);
     this.campaignIfDue(nowMs);
     this.transferRolesToLeader(nowMs);
-    this.endIdleLease(nowMs);
+    this.revokeIdleLease(nowMs);
   }
 
-  private heldCount(): number {
+  private countHeldRoles(): number {
     return ROLES.filter((role) => this.currentGrant(role)).length;
   }
 
@@ -155,29 +160,32 @@
     const stored = this.options.store.get(holderKey(role));
     if (!stored) {
       this.heldSinceMs.delete(role);
-      this.candidacies.recordVacant(role, nowMs);
+      this.candidacySchedule.recordVacant(role, nowMs);
       return;
     }
-    this.candidacies.recordHeld(role);
-    this.recordHolding(role, nowMs);
-    this.releaseFormerHolding(role, stored, nowMs);
+    this.candidacySchedule.recordHeld(role);
+    this.trackHeldSince(role, nowMs);
+    this.releasePreviousProcessRole(role, stored, nowMs);
   }
 
-  private recordHolding(role: Role, nowMs: number): void {
+  private trackHeldSince(role: Role, nowMs: number): void {
     if (!this.currentGrant(role)) this.heldSinceMs.delete(role);
     else if (!this.heldSinceMs.has(role)) this.heldSinceMs.set(role, nowMs);
   }
 
-  /** A former process of this controller is over: nobody has to wait until its lease expires. */
-  private releaseFormerHolding(role: Role, { key, modRevision }: KeyValue, nowMs: number): void {
-    if (!this.formerHoldings.includes(role, modRevision) || nowMs < this.nextCandidacyMs) return;
-    this.nextCandidacyMs = nowMs + CANDIDACY_RETRY_MS;
+  /**
+   * Deletes a holder key of a previous process of this controller, so that nobody has to wait for its lease to expire.
+   */
+  private releasePreviousProcessRole(role: Role, { key, modRevision }: KeyValue, nowMs: number): void {
+    if (!this.previousProcessRoles.isHeldByPreviousProcess(role, modRevision) || nowMs < this.nextCandidacyMs)
+      return;
+    this.nextCandidacyMs = nowMs + CANDIDACY_RETRY_DELAY_MS;
     void this.options.store.commit([{ key, modRevision }], [{ key, value: undefined }]);
   }
 
   private campaignIfDue(nowMs: number): void {
     if (this.isCampaigning || this.isRequestingLease || nowMs < this.nextCandidacyMs) return;
-    const role = this.candidacies.dueRole(nowMs);
+    const role = this.candidacySchedule.pickDueRole(nowMs);
     if (role === undefined) return;
     if (!this.session) this.requestLease();
     else if (this.session.isValid(nowMs)) void this.campaign(role, this.session);
@@ -186,26 +194,29 @@
   private async campaign(role: Role, session: LeaseSession): Promise<void> {
     const { store, member } = this.options;
     this.isCampaigning = true;
-    this.nextCandidacyMs = this.nowMs() + CANDIDACY_RETRY_MS;
-    const { fencingToken, conditions, operations } = roleAcquisition(store, { role, member, session });
+    this.nextCandidacyMs = this.nowMs() + CANDIDACY_RETRY_DELAY_MS;
+    const { fencingToken, conditions, operations } = buildRoleAcquisition(store, { role, member, session });
     const outcome = await store.commit(conditions, operations);
     if (outcome === 'applied') this.log.info({ role, fencingToken }, 'role acquired');
     this.send({ kind: 'candidacyEnded' });
   }
 
-  /** Work waits for what the leader requests: without the way to another process and back it is done sooner. */
+  /**
+   * Transfers roles to the leader. Pending work waits for the leader's intents, and a local holder executes them
+   * sooner.
+   */
   private transferRolesToLeader(nowMs: number): void {
-    if (!this.leader.acceptsTransfers(nowMs)) return;
+    if (!this.leaderTracker.acceptsTransfers(nowMs)) return;
     for (const role of LEADER_PREFERRED_ROLES)
-      if (this.leader.isTransferDue(this.heldSinceMs.get(role) ?? nowMs, nowMs))
-        this.giveUpRole(role, 'transfer to the leader');
+      if (this.leaderTracker.isTransferDue(this.heldSinceMs.get(role) ?? nowMs, nowMs))
+        this.resignHeldRole(role, 'transfer to the leader');
   }
 
-  private giveUpRole(role: Role, reason: string): void {
+  private resignHeldRole(role: Role, reason: string): void {
     const grant = this.currentGrant(role);
     if (!grant) return;
     const { fence, fencingToken } = grant;
-    this.candidacies.recordResigned(role, this.nowMs());
+    this.candidacySchedule.recordResigned(role, this.nowMs());
     this.log.info({ role, fencingToken, reason }, 'role resigned');
     void this.options.store.commit([fence], [{ key: fence.key, value: undefined }]);
   }
@@ -214,26 +225,26 @@
     this.isRequestingLease = true;
     const authority = new ClockCheckedLeaseAuthority();
     const renewal = authority.beginRenewal(this.nowMs());
-    const reply = (leaseId?: Revision): void =>
-      this.send({ kind: 'leaseGranted', renewal, authority, leaseId });
-    this.options.store.grantLease(ROLE_LEASE_TTL_MS).then(reply, () => reply());
+    const reportEnd = (leaseId?: Revision): void =>
+      this.send({ kind: 'leaseRequestEnded', renewal, authority, leaseId });
+    this.options.store.grantLease(ROLE_LEASE_TTL_MS).then(reportEnd, () => reportEnd());
   }
 
-  private onLeaseGranted({ renewal, authority, leaseId }: LeaseGranted): void {
+  private onLeaseRequestEnded({ renewal, authority, leaseId }: LeaseRequestEnded): void {
     this.isRequestingLease = false;
     const nowMs = this.nowMs();
     if (leaseId === undefined) {
-      this.nextCandidacyMs = nowMs + CANDIDACY_RETRY_MS;
+      this.nextCandidacyMs = nowMs + CANDIDACY_RETRY_DELAY_MS;
       return;
     }
     authority.confirmRenewal(renewal, ROLE_LEASE_TTL_MS, nowMs);
-    const id = this.newSessionId(leaseId);
-    this.session = new LeaseSession({ id, leaseId, authority, grant: renewal, nowMs });
+    const id = this.createSessionId(leaseId);
+    this.session = new LeaseSession({ id, leaseId, authority, grantRequest: renewal, nowMs });
     this.campaignIfDue(nowMs);
   }
 
-  /** Another process of this controller, or another lease, has another one. */
-  private newSessionId(leaseId: Revision): string {
+  /** Creates a session id that differs from those of other processes of this controller, and of other leases. */
+  private createSessionId(leaseId: Revision): string {
     const suffix = Math.floor(this.options.random() * 2 ** 32).toString(36);
     return `${this.options.member}/${leaseId}/${suffix}`;
   }
@@ -242,23 +253,26 @@
     const { session } = this;
     const renewal = session?.beginDueRenewal(nowMs);
     if (!session || !renewal) return;
-    const reply = (alive?: boolean): void => this.send({ kind: 'leaseRenewed', session, renewal, alive });
-    this.options.store.keepAlive(session.leaseId, LEASE_RENEWAL_TIMEOUT_MS).then(reply, () => reply());
+    const reportEnd = (isAlive?: boolean): void =>
+      this.send({ kind: 'renewalEnded', session, renewal, isAlive });
+    this.options.store
+      .keepAlive(session.leaseId, LEASE_RENEWAL_TIMEOUT_MS)
+      .then(reportEnd, () => reportEnd());
   }
 
-  private onLeaseRenewed({ session, renewal, alive }: LeaseRenewed): void {
+  private onRenewalEnded({ session, renewal, isAlive }: RenewalEnded): void {
     session.endRenewal();
     if (session !== this.session) return;
-    if (alive) session.confirmRenewal(renewal, this.nowMs());
-    if (alive !== false) return;
+    if (isAlive) session.confirmRenewal(renewal, this.nowMs());
+    if (isAlive !== false) return;
     this.session = undefined;
     this.log.info({ session: session.id }, 'role lease expired');
   }
 
-  private endIdleLease(nowMs: number): void {
+  private revokeIdleLease(nowMs: number): void {
     const { session } = this;
     if (!session) return;
-    if (this.heldCount() > 0 || this.isCampaigning) session.markUsed(nowMs);
+    if (this.countHeldRoles() > 0 || this.isCampaigning) session.markUsed(nowMs);
     if (!session.isIdle(nowMs)) return;
     this.session = undefined;
     void this.options.store.revokeLease(session.leaseId).catch(() => undefined);
--- a/src/duties/controller-role-store.ts
+++ b/src/duties/controller-role-store.ts
@@ -1,4 +1,4 @@
-/** The state store as the leased roles see it. */
+/** The controller's implementation of the state store interface of the leased roles. */
 import type {
   CommitOutcome,
   Condition,
@@ -12,27 +12,27 @@
 import type { StoreClient } from '../state/store-client.js';
 import type { TransactionBatcher } from '../state/transaction-batcher.js';
 
-/** Reads the controller's replica, writes through its batcher, and keeps leases by its client. */
+/** Reads from the controller's replica, writes through its batcher, and manages leases through its client. */
 export class ControllerRoleStore implements RoleStore {
-  /** The three parts belong to the controller, which starts and stops them. */
+  /** The controller owns the replica, the batcher and the client, and starts and stops them. */
   constructor(
     private readonly replica: StateReplica,
     private readonly batcher: TransactionBatcher,
     private readonly client: StoreClient,
   ) {}
 
-  /** Whether the replica is loaded, and the service answers this process. */
+  /** Whether the replica is loaded and the state store serves this process. */
   isReady(): boolean {
     return this.replica.isLoaded && this.client.isServed;
   }
 
-  /** The key as the replica has it. */
+  /** Returns the key as the replica has it, or undefined if the replica has no such key. */
   get(key: string): KeyValueChange | undefined {
     return this.replica.get(key);
   }
 
-  /** All keys with a prefix; it must be a key's part up to its second slash. */
-  list(prefix: string): Iterable<KeyValueChange> {
+  /** Lists all keys with a prefix, which must be the part of a key up to its second slash. */
+  listPrefix(prefix: string): Iterable<KeyValueChange> {
     return this.replica.listPrefix(prefix);
   }
 
@@ -41,27 +41,27 @@
     this.replica.onChange(listener);
   }
 
-  /** Resolves once the replica is as new as this call; rejects if the service can't be read. */
+  /** Resolves once the replica holds all that the state store held at the call. Rejects if the store can't be read. */
   linearizableRead(): Promise<void> {
     return this.replica.linearizableRead();
   }
 
-  /** One transaction, in a batch with other writes of the controller. */
+  /** Writes if all conditions hold. The write may share its transaction with other writes of the controller. */
   async commit(conditions: Condition[], operations: Operation[]): Promise<CommitOutcome> {
     return (await this.batcher.commit(conditions, operations, WRITE_TIMEOUT_MS)).outcome;
   }
 
-  /** Id of a new lease; rejects if none was granted for certain. */
+  /** Grants a lease and resolves to its id. Rejects unless one was certainly granted. */
   grantLease(ttlMs: number): Promise<Revision> {
     return this.client.grantLease(ttlMs);
   }
 
-  /** Whether the lease is alive; rejects when that is not known. */
+  /** Renews a lease, and resolves to whether it is alive. Rejects if that is unknown. */
   keepAlive(leaseId: Revision, timeoutMs: number): Promise<boolean> {
     return this.client.keepAlive(leaseId, timeoutMs);
   }
 
-  /** Ends a lease. */
+  /** Revokes a lease. */
   revokeLease(leaseId: Revision): Promise<void> {
     return this.client.revokeLease(leaseId);
   }
--- a/src/duties/current-leader.ts
+++ b/src/duties/current-leader.ts
@@ -1,9 +1,9 @@
-/** The leader as the leased roles see it. */
+/** Reads the current leader for the leased roles. */
 import type { CurrentLeader } from '@pumicehinge/duties';
 import { decodeLeader, LEADER_KEY } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 
-/** The leader that the replica shows; undefined if nobody leads, or its record can't be read. */
+/** Returns the leader according to the replica, or undefined if nobody leads or the leader's record is malformed. */
 export function readCurrentLeader(replica: StateReplica): CurrentLeader | undefined {
   const stored = replica.get(LEADER_KEY);
   const leader = decodeLeader(stored?.value);
--- a/src/duties/delegated-provisioner.ts
+++ b/src/duties/delegated-provisioner.ts
@@ -1,4 +1,4 @@
-/** The leader's way to the cloud where role holders call it instead of the leader. */
+/** The leader's provisioner for the case that role holders, instead of the leader, make the calls to the cloud. */
 import type {
   InheritedIntents,
   IntentEvent,
@@ -17,23 +17,24 @@
 export interface DelegatedProvisionerOptions {
   readonly roles: LeasedRoles;
   readonly term: {
+    /** Number of the term. */
     readonly fencingToken: number;
-    /** Revision in which the leader wrote its key. */
+    /** Revision at which the leader wrote its key. */
     readonly leaderKeyRevision: WireInt;
   };
-  /** Bytes: largest value of the state store. */
+  /** Size limit of one value in the state store. */
   readonly maxValueBytes: number;
-  /** Called with what came of each request, as if the leader had called the cloud itself. */
+  /** Called with the result of each request, as if the leader had called the cloud itself. */
   readonly onEvent: (event: CloudEvent) => void;
-  /** Called when the log of intents failed. */
+  /** Called when the intent log fails. */
   readonly onFailure: (error: unknown) => void;
 }
 
-/** Records what the leader wants as intents, which the holders of leased roles execute. */
+/** Records the leader's requests as intents, which the holders of leased roles execute. */
 export class DelegatedProvisioner implements Provisioner {
   private readonly intents: IntentLog;
 
-  /** Opens the log of the term's intents. */
+  /** Opens the intent log of the term. */
   constructor({ roles, term, maxValueBytes, onEvent, onFailure }: DelegatedProvisionerOptions) {
     const fence = { key: LEADER_KEY, modRevision: term.leaderKeyRevision };
     this.intents = roles.openIntentLog(
@@ -41,35 +42,35 @@
         term: term.fencingToken,
         fence,
         maxValueBytes,
-        onEvent: (event) => onEvent(cloudEventOf(event)),
+        onEvent: (event) => onEvent(toCloudEvent(event)),
       },
       onFailure,
     );
   }
 
-  /** What earlier terms have irrevocably begun. */
+  /** Returns the intents that earlier terms have irrevocably begun. */
   inheritedIntents(): InheritedIntents {
     return this.intents.inheritedIntents();
   }
 
-  /** Closes the log; what it recorded is still executed. */
+  /** Closes the intent log. Role holders still execute the recorded intents. */
   stop(): void {
     this.intents.stop();
   }
 
-  /** Records a launch. */
+  /** Records an intent to launch nodes. */
   launch({ name, offering, count }: LaunchRequest): void {
     this.intents.send({ kind: 'launch', request: { name, offering, count } });
   }
 
-  /** Records the termination of nodes. */
+  /** Records an intent to terminate nodes. */
   terminate(role: TerminationRole, names: string[]): void {
     this.intents.send({ kind: 'terminate', role, names });
   }
 }
 
-/** What came of an intent, in the words in which the leader hears of its own calls. */
-function cloudEventOf(event: IntentEvent): CloudEvent {
+/** Converts the result of an intent to the event that the leader gets for a call of its own. */
+function toCloudEvent(event: IntentEvent): CloudEvent {
   switch (event.kind) {
     case 'launched':
       return { kind: 'launched', request: event.request, names: event.names };
--- a/src/duties/http-cloud-provider.ts
+++ b/src/duties/http-cloud-provider.ts
@@ -1,4 +1,4 @@
-/** The cloud as the holders of leased roles see it: the calls that change something. */
+/** The cloud API that holders of leased roles call to launch and terminate nodes. */
 import type { CloudProvider, LaunchRequest, LaunchResult, TerminationResult } from '@pumicehinge/duties';
 import {
   decodeLaunched,
@@ -12,24 +12,24 @@
 import type { HttpCaller, HttpResponse } from '../http/message.js';
 import { formatJson } from '../wire/json.js';
 
-/** Calls the cloud by HTTP, once a request: the caller decides what is repeated. */
+/** Calls the cloud over HTTP. It sends each request once, as the caller decides about retries. */
 export class HttpCloudProvider implements CloudProvider {
-  /** `address`: host and port of the cloud. */
+  /** `address` is the host and port of the cloud. */
   constructor(
     private readonly caller: HttpCaller,
     private readonly address: string,
   ) {}
 
-  /** Launches nodes. Never rejects: without an answer the result is unknown. */
+  /** Launches nodes. Never rejects. The result is unknown if there is no answer. */
   async launch(request: LaunchRequest): Promise<LaunchResult> {
     const response = await this.post(LAUNCH_TARGET, encodeLaunch(request));
-    if (response?.status === 200) return readLaunched(response.body, request.count);
+    if (response?.status === 200) return decodeLaunchResult(response.body, request.count);
     if (response?.status === 503 || response?.status === 400)
       return { kind: 'refused', reason: decodeRefusalReason(response.body) };
     return { kind: 'unknown', answered: response !== undefined };
   }
 
-  /** Terminates nodes. Never rejects: without an answer the result is unknown. */
+  /** Terminates nodes. Never rejects. The result is unknown if there is no answer. */
   async terminate(names: string[]): Promise<TerminationResult> {
     const response = await this.post(TERMINATE_TARGET, encodeTermination(names));
     return response?.status === 200
@@ -41,20 +41,23 @@
     try {
       return await this.caller.call(this.address, 'POST', target, formatJson(body), CLOUD_CALL_TIMEOUT_MS);
     } catch {
-      // Whatever failed, the request may have arrived.
+      // The request may have arrived, whatever the error is.
       return undefined;
     }
   }
 }
 
-/** An answer that doesn't fit the request is not believed: what was launched shows in the list of instances. */
-function readLaunched(text: string, count: number): LaunchResult {
+/**
+ * Decodes the names of launched nodes. An answer that does not match the request counts as a refusal, because the list
+ * of instances will show which nodes were launched.
+ */
+function decodeLaunchResult(text: string, count: number): LaunchResult {
   let names: string[];
   try {
     names = decodeLaunched(text);
   } catch {
     return { kind: 'refused', reason: 'trouble' };
   }
-  const fits = names.length <= count && new Set(names).size === names.length && !names.includes('');
-  return fits ? { kind: 'launched', names } : { kind: 'refused', reason: 'trouble' };
+  const matchesRequest = names.length <= count && new Set(names).size === names.length && !names.includes('');
+  return matchesRequest ? { kind: 'launched', names } : { kind: 'refused', reason: 'trouble' };
 }
--- a/src/duties/obsolete-records.ts
+++ b/src/duties/obsolete-records.ts
@@ -1,4 +1,4 @@
-/** Which records of jobs the holder of the role `cleanup` may delete. */
+/** Finds the job records that the holder of the role `cleanup` may delete. */
 import type { ObsoleteRecord } from '@pumicehinge/duties';
 import {
   COMPLETION_SEGMENTS_PREFIX,
@@ -9,23 +9,28 @@
 } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 
-/** Finds at most `limit` records that nobody reads any more: details, under keys of their own, of jobs that are over. */
+/**
+ * Finds at most `limit` records that nobody reads any more. These are completion segments and dependency lists of jobs
+ * that are over, which are stored under keys of their own.
+ */
 export function findObsoleteRecords(replica: StateReplica, limit: number): ObsoleteRecord[] {
-  const obsolete: ObsoleteRecord[] = [];
+  const obsoleteRecords: ObsoleteRecord[] = [];
   for (const prefix of [COMPLETION_SEGMENTS_PREFIX, DEPENDENCY_LISTS_PREFIX])
     for (const { key, modRevision } of replica.listPrefix(prefix)) {
-      if (obsolete.length >= limit) return obsolete;
-      const owner = obsoleteOwner(replica, key, prefix);
-      if (owner) obsolete.push({ key, modRevision, conditions: [owner] });
+      if (obsoleteRecords.length >= limit) return obsoleteRecords;
+      const ownerCondition = findObsoleteOwnerCondition(replica, key, prefix);
+      if (ownerCondition) obsoleteRecords.push({ key, modRevision, conditions: [ownerCondition] });
     }
-  return obsolete;
+  return obsoleteRecords;
 }
 
 /**
- * The job, as a condition of deleting its detail, if the detail is obsolete. A completed job answers from its own value, and
- * one without a specification names no list any more. The finished tasks of a cancelled job are still shown, so they stay.
+ * Returns the condition that the job of a detail record has not changed, or undefined if the detail is not obsolete. A
+ * completed job is described by its own value alone, and a job without a specification no longer refers to
+ * a dependency list. The completion segments of a cancelled job are kept, because users can still see its finished
+ * tasks.
  */
-function obsoleteOwner(
+function findObsoleteOwnerCondition(
   replica: StateReplica,
   detailKey: string,
   prefix: string,
--- a/test/duties/interleavings.test.ts
+++ b/test/duties/interleavings.test.ts
@@ -5,15 +5,15 @@
 import { ModelCluster, PROMPT_DELIVERY, type DeliveryPolicy } from './model-cluster.js';
 
 const MEMBERS = ['c0', 'c1', 'c2', 'c3'];
-/** ms: in which faults are injected. */
-const FAULTS_MS = 30_000;
-/** ms: after them, to finish what was begun. */
-const CALM_MS = 35_000;
-/** ms: between two changes of how many nodes are wanted. */
-const CHANGE_MS = 700;
+/** Length of the first phase of a scenario, in which faults are injected. */
+const FAULT_PHASE_MS = 30_000;
+/** Length of the second phase, in which no faults are injected and all intents must be completed. */
+const RECOVERY_PHASE_MS = 35_000;
+/** Interval between two changes of the number of nodes that the leader wants. */
+const TARGET_CHANGE_INTERVAL_MS = 700;
 const TARGET_NODES_AT_END = 4;
-/** More runs, outside CI: scripts/duties/interleavings.sh. */
-const RUNS = Number(process.env.DUTIES_RUNS ?? 150);
+/** scripts/duties/interleavings.sh sets a larger number for runs outside CI. */
+const RUN_COUNT = Number(process.env.DUTIES_RUNS ?? 150);
 const SEED = Number(process.env.DUTIES_SEED ?? 20261202);
 
 type FaultKind =
@@ -31,36 +31,37 @@
   kind: FaultKind;
   member: string;
   atMs: number;
-  forMs: number;
+  durationMs: number;
+  /** Offset of a clock jump in milliseconds, from which the node limit of a capacity fault is derived as well. */
   amount: number;
 }
 
 interface Scenario {
   seed: number;
-  /** Share of messages that are slow, lose their answer, or arrive much later. */
+  /** Share of messages that are slow, arrive much later, or whose answer is lost. */
   disturbedShare: number;
   faults: Fault[];
 }
 
-const drawnFault: fc.Arbitrary<Fault> = fc.record({
+const faultArbitrary: fc.Arbitrary<Fault> = fc.record({
   kind: fc.constantFrom<FaultKind>(
     ...(['pause', 'pause', 'pause', 'crash', 'state service partition', 'cloud partition'] as const),
     ...(['outage', 'new leader', 'new leader', 'clock jump', 'capacity', 'resign'] as const),
   ),
   member: fc.constantFrom(...MEMBERS),
-  atMs: fc.integer({ min: 500, max: FAULTS_MS }),
-  forMs: fc.integer({ min: 50, max: 12_000 }),
+  atMs: fc.integer({ min: 500, max: FAULT_PHASE_MS }),
+  durationMs: fc.integer({ min: 50, max: 12_000 }),
   amount: fc.integer({ min: -20_000, max: 20_000 }),
 });
 
-const drawnScenario: fc.Arbitrary<Scenario> = fc.record({
+const scenarioArbitrary: fc.Arbitrary<Scenario> = fc.record({
   seed: fc.integer({ min: 1, max: 2 ** 31 - 1 }),
   disturbedShare: fc.constantFrom(0, 0.1, 0.3),
-  faults: fc.array(drawnFault, { minLength: 2, maxLength: 14 }),
+  faults: fc.array(faultArbitrary, { minLength: 2, maxLength: 14 }),
 });
 
-/** A small generator of its own, so that a scenario is played the same way each time. */
-function randomFrom(seed: number): () => number {
+/** Creates a seeded random generator, so that a scenario is reproducible. */
+function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
     state = (state + 0x6d2b79f5) | 0;
@@ -70,109 +71,127 @@
   };
 }
 
-function drawnFates(random: () => number, disturbedShare: number): DeliveryPolicy {
+function createDeliveryPolicy(random: () => number, disturbedShare: number): DeliveryPolicy {
   return () => {
-    const quickMs = (): number => 1 + random() * 20;
+    const drawShortDelayMs = (): number => 1 + random() * 20;
     if (random() >= disturbedShare)
-      return { requestDelayMs: quickMs(), responseDelayMs: quickMs(), isResponseLost: false };
-    const kind = random();
-    if (kind < 0.3) return { requestDelayMs: quickMs(), responseDelayMs: quickMs(), isResponseLost: true };
-    if (kind < 0.7)
+      return {
+        requestDelayMs: drawShortDelayMs(),
+        responseDelayMs: drawShortDelayMs(),
+        isResponseLost: false,
+      };
+    const draw = random();
+    if (draw < 0.3)
+      return {
+        requestDelayMs: drawShortDelayMs(),
+        responseDelayMs: drawShortDelayMs(),
+        isResponseLost: true,
+      };
+    if (draw < 0.7)
       return { requestDelayMs: random() * 1_000, responseDelayMs: random() * 1_000, isResponseLost: false };
-    // Long after its sender gave up, and after another process took over.
-    return { requestDelayMs: 1_000 + random() * 20_000, responseDelayMs: quickMs(), isResponseLost: false };
+    // The request arrives long after its sender has timed out, and after another process has acquired the role.
+    return {
+      requestDelayMs: 1_000 + random() * 20_000,
+      responseDelayMs: drawShortDelayMs(),
+      isResponseLost: false,
+    };
   };
 }
 
-function inject(cluster: ModelCluster, { kind, member, forMs, amount }: Fault): void {
+function injectFault(cluster: ModelCluster, { kind, member, durationMs, amount }: Fault): void {
   const { clock, state, cloud } = cluster;
   switch (kind) {
     case 'pause':
-      return cluster.pause(member, forMs);
+      return cluster.pause(member, durationMs);
     case 'crash':
-      return cluster.crash(member, Math.min(forMs, 3_000));
+      return cluster.crash(member, Math.min(durationMs, 3_000));
     case 'state service partition':
       state.refused.add(member);
-      return void clock.after(forMs, () => state.refused.delete(member));
+      return void clock.after(durationMs, () => state.refused.delete(member));
     case 'cloud partition':
       cluster.partitionedFromCloud.add(member);
-      return void clock.after(forMs * 2, () => cluster.partitionedFromCloud.delete(member));
+      return void clock.after(durationMs * 2, () => cluster.partitionedFromCloud.delete(member));
     case 'outage':
       state.refused.add('*');
-      return void clock.after(forMs / 2, () => state.endOutage());
+      return void clock.after(durationMs / 2, () => state.endOutage());
     case 'new leader':
       return void cluster.elect(member);
     case 'clock jump':
-      cluster.processOf(member).clockOffsetMs += amount;
+      cluster.requireProcess(member).clockOffsetMs += amount;
       return;
     case 'capacity':
       cloud.capacity = Math.abs(amount) % 6;
-      return void clock.after(forMs, () => (cloud.capacity = Infinity));
+      return void clock.after(durationMs, () => (cloud.capacity = Infinity));
     case 'resign':
-      for (const { role } of cluster.rolesOf(member).heldRoles())
-        cluster.rolesOf(member).resign(role, 'test');
+      for (const { role } of cluster.requireRoles(member).heldRoles())
+        cluster.requireRoles(member).resign(role, 'test');
   }
 }
 
-interface Outcome {
+interface ScenarioOutcome {
   violations: string[];
   unfinished: string[];
-  stale: StaleSummary;
+  staleSummary: StaleSummary;
 }
 
-async function play(
+async function runScenario(
   { seed, disturbedShare, faults }: Scenario,
   { isFencingEnabled = true } = {},
-): Promise<Outcome> {
-  const random = randomFrom(seed);
-  const cluster = new ModelCluster(MEMBERS, random, drawnFates(random, disturbedShare));
+): Promise<ScenarioOutcome> {
+  const random = createRandom(seed);
+  const cluster = new ModelCluster(MEMBERS, random, createDeliveryPolicy(random, disturbedShare));
   cluster.isFencingEnabled = isFencingEnabled;
   const { clock } = cluster;
   clock.after(300, () => void cluster.elect('c0'));
-  const change = (): void => {
-    cluster.targetNodes = clock.steadyMs() < FAULTS_MS ? 1 + Math.floor(random() * 8) : TARGET_NODES_AT_END;
-    clock.after(CHANGE_MS, change);
+  const changeTargetNodes = (): void => {
+    cluster.targetNodes =
+      clock.steadyMs() < FAULT_PHASE_MS ? 1 + Math.floor(random() * 8) : TARGET_NODES_AT_END;
+    clock.after(TARGET_CHANGE_INTERVAL_MS, changeTargetNodes);
   };
-  change();
-  for (const fault of faults) clock.after(fault.atMs, () => inject(cluster, fault));
-  await clock.runUntil(FAULTS_MS + 15_000);
+  changeTargetNodes();
+  for (const fault of faults) clock.after(fault.atMs, () => injectFault(cluster, fault));
+  await clock.runUntil(FAULT_PHASE_MS + 15_000);
   cluster.deliveryPolicy = PROMPT_DELIVERY;
   cluster.state.endOutage();
   cluster.partitionedFromCloud.clear();
   void cluster.elect('c1');
-  await clock.runUntil(FAULTS_MS + CALM_MS);
-  return { violations: cluster.violations(), unfinished: cluster.unfinished(), stale: cluster.log.stale() };
+  await clock.runUntil(FAULT_PHASE_MS + RECOVERY_PHASE_MS);
+  return {
+    violations: cluster.listViolations(),
+    unfinished: cluster.listUnfinished(),
+    staleSummary: cluster.log.stale(),
+  };
 }
 
-test('whatever is paused, lost, late or crashed: nothing but what is committed, by its holder, happens', async (context) => {
-  let lateWithoutEffect = 0;
-  let lateAsCommitted = 0;
+test('with pauses, crashes, lost and late messages, only committed intents take effect, and only by their holder', async (context) => {
+  let lateCallsWithoutEffect = 0;
+  let lateCallsAsCommitted = 0;
   await fc.assert(
-    fc.asyncProperty(drawnScenario, async (scenario) => {
-      const outcome = await play(scenario);
+    fc.asyncProperty(scenarioArbitrary, async (scenario) => {
+      const outcome = await runScenario(scenario);
       assert.deepEqual(outcome.violations, []);
       assert.deepEqual(outcome.unfinished, []);
-      lateWithoutEffect += outcome.stale.withoutEffect;
-      lateAsCommitted += outcome.stale.asRecorded;
+      lateCallsWithoutEffect += outcome.staleSummary.withoutEffect;
+      lateCallsAsCommitted += outcome.staleSummary.asRecorded;
     }),
-    // A smaller scenario takes minutes to find; the failing one is printed whole.
-    { numRuns: RUNS, seed: SEED, endOnFailure: true },
+    // Shrinking would take minutes, so the failing scenario is printed as it is.
+    { numRuns: RUN_COUNT, seed: SEED, endOnFailure: true },
   );
-  // The scenarios do bring about what they are meant for.
-  assert.ok(lateWithoutEffect > 0, 'no late call');
-  assert.ok(lateAsCommitted > 0, 'no late call of what is committed');
+  // The scenarios must contain the late calls that they are meant to produce.
+  assert.ok(lateCallsWithoutEffect > 0, 'no late call without effect');
+  assert.ok(lateCallsAsCommitted > 0, 'no late call that took effect as committed');
   context.diagnostic(
-    `${RUNS} scenarios: ${lateWithoutEffect} late calls without effect, ${lateAsCommitted} as committed`,
+    `${RUN_COUNT} scenarios: ${lateCallsWithoutEffect} late calls without effect, ${lateCallsAsCommitted} as committed`,
   );
 });
 
-test('the checker sees writes of replaced holders once fencing is disabled', async () => {
-  const found = await fc.check(
-    fc.asyncProperty(drawnScenario, async (scenario) => {
-      const { violations } = await play(scenario, { isFencingEnabled: false });
+test('the checker detects writes of replaced holders if fencing is disabled', async () => {
+  const checkResult = await fc.check(
+    fc.asyncProperty(scenarioArbitrary, async (scenario) => {
+      const { violations } = await runScenario(scenario, { isFencingEnabled: false });
       assert.deepEqual(violations, []);
     }),
-    { numRuns: RUNS, seed: SEED, endOnFailure: true },
+    { numRuns: RUN_COUNT, seed: SEED, endOnFailure: true },
   );
-  assert.equal(found.failed, true, 'no violation was found without fencing');
+  assert.equal(checkResult.failed, true, 'no violation was found without fencing');
 });
--- a/test/duties/leader-changes.test.ts
+++ b/test/duties/leader-changes.test.ts
@@ -3,57 +3,58 @@
 import { PROMPT_DELIVERY } from './model-cluster.js';
 import {
   advance,
-  calls,
-  holderOf,
+  listCloudCalls,
+  requireHolder,
   testFailureCases,
-  THREE,
-  untilIntent,
+  THREE_CONTROLLERS,
+  advanceUntilIntent,
   type FailureCase,
 } from './settled-cluster.js';
 
 const CASES: FailureCase[] = [
   {
-    name: 'the leader and a holder crash together: the next leader does not use what is being terminated',
-    play: async (cluster) => {
+    name: 'if the leader and a holder crash together, the next leader does not use nodes that are being terminated',
+    run: async (cluster) => {
       cluster.targetNodes = 4;
       await advance(cluster, 5_000);
       cluster.targetNodes = 2;
-      await untilIntent(cluster, 'return', 'committed');
+      await advanceUntilIntent(cluster, 'return', 'committed');
       cluster.crash('c0', 3_000);
-      const holder = holderOf(cluster, 'return');
+      const holder = requireHolder(cluster, 'return');
       if (holder !== 'c0') cluster.crash(holder, 3_000);
       await advance(cluster, 1_000);
-      void cluster.elect(THREE.find((member) => member !== 'c0' && member !== holder)!);
+      void cluster.elect(THREE_CONTROLLERS.find((member) => member !== 'c0' && member !== holder)!);
       await advance(cluster, 12_000);
     },
   },
   {
-    name: 'what a leader requested and nobody committed is void with its term, and is deleted',
-    play: async (cluster) => {
-      for (const member of THREE) cluster.partitionedFromCloud.add(member);
-      // Nobody holds the role: the intent stays as it is.
-      for (const role of ROLES) for (const member of THREE) cluster.rolesOf(member).resign(role, 'test');
+    name: 'an intent that was requested but not committed is void after its term, and is deleted',
+    run: async (cluster) => {
+      for (const member of THREE_CONTROLLERS) cluster.partitionedFromCloud.add(member);
+      // Nobody holds the role, so the intent is not executed.
+      for (const role of ROLES)
+        for (const member of THREE_CONTROLLERS) cluster.requireRoles(member).resign(role, 'test');
       cluster.targetNodes = 2;
-      await untilIntent(cluster, 'rent', 'requested');
-      const [intent] = cluster.intents();
+      await advanceUntilIntent(cluster, 'rent', 'requested');
+      const [intent] = cluster.listIntents();
       cluster.targetNodes = 0;
       void cluster.elect('c1');
-      for (const member of THREE) cluster.partitionedFromCloud.delete(member);
+      for (const member of THREE_CONTROLLERS) cluster.partitionedFromCloud.delete(member);
       await advance(cluster, 30_000);
-      assert.deepEqual(calls(cluster), []);
+      assert.deepEqual(listCloudCalls(cluster), []);
       assert.equal(cluster.state.peek(intentKey(intent!.id)), undefined);
     },
   },
   {
-    name: 'a commitment on its way as the term ends is not recorded any more',
-    play: async (cluster) => {
+    name: 'a commitment that arrives after the end of the term is not recorded',
+    run: async (cluster) => {
       cluster.targetNodes = 6;
       await advance(cluster, 6_000);
       cluster.targetNodes = 1;
-      // Of a role that the leader itself holds, no intent is ever seen that is only requested.
-      const role = (['reclaim', 'return'] as const).find((each) => holderOf(cluster, each) !== 'c0');
-      await untilIntent(cluster, role!, 'requested');
-      // All that is sent from now on arrives once another leads, and has read what is stored.
+      // If the leader holds the role itself, its intents are committed at once and are never in the state `requested`.
+      const role = (['reclaim', 'return'] as const).find((each) => requireHolder(cluster, each) !== 'c0');
+      await advanceUntilIntent(cluster, role!, 'requested');
+      // All messages sent from now on arrive after the next leader was elected and has read the stored state.
       cluster.deliveryPolicy = () => ({ requestDelayMs: 1_400, responseDelayMs: 1, isResponseLost: false });
       await advance(cluster, 10);
       cluster.deliveryPolicy = PROMPT_DELIVERY;
@@ -63,27 +64,27 @@
     },
   },
   {
-    name: 'beside a leader of a former version holders do nothing, and go on after it',
-    play: async (cluster) => {
-      for (const member of THREE) cluster.partitionedFromCloud.add(member);
+    name: 'role holders do nothing while a leader of an earlier version leads, and continue after its term',
+    run: async (cluster) => {
+      for (const member of THREE_CONTROLLERS) cluster.partitionedFromCloud.add(member);
       cluster.targetNodes = 2;
-      await untilIntent(cluster, 'rent', 'committed');
+      await advanceUntilIntent(cluster, 'rent', 'committed');
       void cluster.elect('c1', { delegates: false });
       await advance(cluster, 100);
       cluster.partitionedFromCloud.clear();
       await advance(cluster, 10_000);
-      assert.deepEqual(calls(cluster), []);
+      assert.deepEqual(listCloudCalls(cluster), []);
       void cluster.elect('c2');
       await advance(cluster, 12_000);
       assert.equal(cluster.cloud.hosts.size, 2);
     },
   },
   {
-    name: 'the next leader counts on what is being launched, and launches nothing twice',
-    play: async (cluster) => {
-      for (const member of THREE) cluster.partitionedFromCloud.add(member);
+    name: 'the next leader counts the nodes of launches in progress, and launches nothing twice',
+    run: async (cluster) => {
+      for (const member of THREE_CONTROLLERS) cluster.partitionedFromCloud.add(member);
       cluster.targetNodes = 2;
-      await untilIntent(cluster, 'rent', 'committed');
+      await advanceUntilIntent(cluster, 'rent', 'committed');
       cluster.crash('c0', 3_000);
       await advance(cluster, 500);
       void cluster.elect('c1');
--- a/test/duties/lease-authority.test.ts
+++ b/test/duties/lease-authority.test.ts
@@ -2,12 +2,18 @@
 import test from 'node:test';
 import { ClockCheckedLeaseAuthority } from '@pumicehinge/duties';
 
-test('an authority counts from before the request, less drift and margin, and never on a clock that goes back', () => {
+test('the authority counts from before the request, is reduced by drift and margin, and ends if the clock goes backwards', () => {
   const TTL_MS = 4_000;
-  type Step = ['request' | 'confirm', atMs: number] | ['check', atMs: number, expected: boolean];
-  const cases: [name: string, ...steps: Step[]][] = [
-    ['nothing granted', ['check', 10, false]],
-    ['granted at once', ['request', 0], ['confirm', 1], ['check', 3_700, true], ['check', 3_800, false]],
+  type LeaseAction = ['request' | 'confirm', atMs: number] | ['check', atMs: number, expected: boolean];
+  const cases: [name: string, ...steps: LeaseAction[]][] = [
+    ['no lease granted', ['check', 10, false]],
+    [
+      'granted without delay',
+      ['request', 0],
+      ['confirm', 1],
+      ['check', 3_700, true],
+      ['check', 3_800, false],
+    ],
     [
       'an answer after 1.4 s',
       ['request', 0],
@@ -15,41 +21,41 @@
       ['check', 3_700, true],
       ['check', 3_800, false],
     ],
-    ['an answer after the lease', ['request', 0], ['confirm', 5_000], ['check', 5_000, false]],
+    ['an answer after the lease expired', ['request', 0], ['confirm', 5_000], ['check', 5_000, false]],
     [
-      'revived by a renewal',
+      'restored by a renewal',
       ...([
         ['request', 0],
         ['confirm', 1],
         ['check', 3_900, false],
-      ] satisfies Step[]),
+      ] satisfies LeaseAction[]),
       ...([
         ['request', 3_950],
         ['confirm', 3_960],
         ['check', 7_000, true],
-      ] satisfies Step[]),
+      ] satisfies LeaseAction[]),
     ],
     [
-      'the clock goes back while it is valid',
+      'the clock goes backwards while the lease is valid',
       ...([
         ['request', 9_000],
         ['confirm', 9_001],
         ['check', 9_500, true],
         ['check', 9_400, false],
-      ] satisfies Step[]),
+      ] satisfies LeaseAction[]),
     ],
     [
-      'the clock goes back between request and answer',
+      'the clock goes backwards between request and answer',
       ...([
         ['request', 9_000],
         ['confirm', 3_000],
         ['check', 3_100, false],
-      ] satisfies Step[]),
+      ] satisfies LeaseAction[]),
       ...([
         ['request', 3_200],
         ['confirm', 3_210],
         ['check', 3_300, true],
-      ] satisfies Step[]),
+      ] satisfies LeaseAction[]),
     ],
   ];
   for (const [name, ...steps] of cases) {
--- a/test/duties/model-cluster.ts
+++ b/test/duties/model-cluster.ts
@@ -1,4 +1,4 @@
-/** Several controllers with leased roles, against the stand-ins of the state service and the cloud, on simulated time. */
+/** Several controllers with leased roles that run against a simulated state service and cloud, on simulated time. */
 import assert from 'node:assert/strict';
 import { pino } from 'pino';
 import { decodeIntent, INTENT_KEY_PREFIX, LeasedRoles, ROLES, type Intent } from '@pumicehinge/duties';
@@ -20,19 +20,19 @@
 import { ModelProcess } from './model-process.js';
 
 const LIMITS = { rps: 1_000, writesPerS: 1_000, txnOps: 12 };
-const silent = pino({ level: 'silent' });
+const silentLogger = pino({ level: 'silent' });
 
-/** What happens to one message: when it arrives, when its answer is back, and whether that is lost. */
+/** The delivery of one message: the delays of the request and of its answer, and whether the answer is lost. */
 export interface MessageDelivery {
   requestDelayMs: number;
   responseDelayMs: number;
   isResponseLost: boolean;
 }
 
-/** Decides what happens to each message. */
+/** Decides how each message is delivered. */
 export type DeliveryPolicy = () => MessageDelivery;
 
-/** Every message arrives soon, and none is lost. */
+/** Delivers every message after a short delay, and loses none. */
 export const PROMPT_DELIVERY: DeliveryPolicy = () => ({
   requestDelayMs: 5,
   responseDelayMs: 5,
@@ -45,25 +45,27 @@
   roles: LeasedRoles;
 }
 
-/** Plays what is asked of it, and tells by what the stand-ins saw which rules were broken. */
+/**
+ * Injects faults into the controllers, and detects broken rules from the requests that the simulated services received.
+ */
 export class ModelCluster {
   readonly clock = new SimulatedClock();
   readonly state: SimStateService;
   readonly cloud: SimCloud;
   readonly log: DutyLog;
-  /** Members that the cloud does not answer. */
+  /** Members whose requests don't reach the cloud. */
   readonly partitionedFromCloud = new Set<string>();
-  /** Terminations of a node that the leader of that moment considered usable. */
+  /** Names of nodes that were terminated while the leader of that time considered them usable. */
   readonly terminatedWhileUsable: string[] = [];
-  /** Whether the state service checks the conditions on what the roles keep. */
+  /** Whether the state service checks the conditions on the records of the roles. */
   isFencingEnabled = true;
-  /** How many nodes the leader wants. */
+  /** The number of nodes that the leader wants. */
   targetNodes = 4;
-  /** Called whenever a process reads who leads; may throw, as a fault of the program would. */
+  /** Called whenever a process reads the current leader. It may throw to simulate a bug in the program. */
   onLeaderRead: (member: string) => void = () => undefined;
   private readonly handlers = new Map<string, SimHandler>();
   private readonly controllers = new Map<string, ModelController>();
-  private leading: { leader: ModelLeader; term: number } | undefined;
+  private electedLeader: { leader: ModelLeader; term: number } | undefined;
 
   constructor(
     readonly members: readonly string[],
@@ -85,10 +87,10 @@
       'cloud:1',
       this.log.wrap('cloud', (...request) => this.recordTerminations(() => this.cloud.handle(...request))),
     );
-    for (const member of members) this.start(member);
+    for (const member of members) this.startProcess(member);
   }
 
-  start(member: string): void {
+  startProcess(member: string): void {
     const process = new ModelProcess(this.clock);
     const clock = process.visibleClock;
     const caller: HttpCaller = {
@@ -102,10 +104,14 @@
       controllerCount: 1,
     });
     client.setLeading(true);
-    const replica = new StateReplica(client, ROOT_PREFIX, clock, silent);
+    const replica = new StateReplica(client, ROOT_PREFIX, clock, silentLogger);
     const roles = new LeasedRoles({
       member,
-      store: new ControllerRoleStore(replica, new TransactionBatcher(client, replica, clock, silent), client),
+      store: new ControllerRoleStore(
+        replica,
+        new TransactionBatcher(client, replica, clock, silentLogger),
+        client,
+      ),
       cloudProvider: new HttpCloudProvider(caller, 'cloud:1'),
       currentLeader: () => {
         this.onLeaderRead(member);
@@ -114,93 +120,110 @@
       obsoleteRecords: () => [],
       maxTransactionOperations: LIMITS.txnOps,
       cloudRequestsPerSecond: { rent: 4, return: 4, reclaim: 4 },
-      ...{ clock, random: this.random, log: silent },
+      ...{ clock, random: this.random, log: silentLogger },
     });
     this.controllers.set(member, { process, replica, roles });
     void replica.run();
     roles.start();
   }
 
-  private controllerOf(member: string): ModelController {
+  private requireController(member: string): ModelController {
     const controller = this.controllers.get(member);
     assert.ok(controller, `${member} is not in the cluster`);
     return controller;
   }
 
-  processOf(member: string): ModelProcess {
-    return this.controllerOf(member).process;
+  requireProcess(member: string): ModelProcess {
+    return this.requireController(member).process;
   }
 
-  rolesOf(member: string): LeasedRoles {
-    return this.controllerOf(member).roles;
+  requireRoles(member: string): LeasedRoles {
+    return this.requireController(member).roles;
   }
 
-  intents(): Intent[] {
+  listIntents(): Intent[] {
     return this.state
       .keys(INTENT_KEY_PREFIX)
       .map((key) => decodeIntent(key, this.state.peek(key)))
       .filter((intent) => intent !== undefined);
   }
 
-  /** Revision of a key. */
-  modRevisionOf(key: string): number {
+  /** Returns the revision of a key. */
+  readModRevision(key: string): number {
     return this.state.stampOf(key);
   }
 
-  /** Changes the state service as no controller would. */
-  async put(key: string, value: unknown): Promise<boolean> {
+  /** Writes a key without any condition, which no controller does. */
+  async writeUnconditionally(key: string, value: unknown): Promise<boolean> {
     const body = JSON.stringify({ apply: [{ put: key, v: value }] });
     return (await this.state.handle('test', 'POST', '/multi', body))?.status === 200;
   }
 
-  crash(member: string, backMs: number): void {
-    if (!this.processOf(member).clock.isAlive) return;
-    this.processOf(member).clock.kill();
-    this.clock.after(backMs, () => this.start(member));
+  crash(member: string, restartDelayMs: number): void {
+    if (!this.requireProcess(member).clock.isAlive) return;
+    this.requireProcess(member).clock.kill();
+    this.clock.after(restartDelayMs, () => this.startProcess(member));
   }
 
-  pause(member: string, forMs: number): void {
-    const process = this.processOf(member);
+  pause(member: string, durationMs: number): void {
+    const process = this.requireProcess(member);
     process.pause();
-    this.clock.after(forMs, () => process.resume());
+    this.clock.after(durationMs, () => process.resume());
   }
 
-  /** The controller leads from now on, with a higher term. */
+  /** Makes a controller the leader of a new term. */
   async elect(member: string, { delegates = true } = {}): Promise<void> {
-    const { process, replica, roles } = this.controllerOf(member);
+    const { process, replica, roles } = this.requireController(member);
     const term = this.term + 1;
-    if (!(await this.put(LEADER_KEY, encodeLeader({ member, term, delegates })))) return;
-    this.leading = undefined;
+    if (!(await this.writeUnconditionally(LEADER_KEY, encodeLeader({ member, term, delegates })))) return;
+    this.electedLeader = undefined;
     if (!delegates) return;
-    for (let read = false; !read;)
+    for (let hasReadOwnRecord = false; !hasReadOwnRecord;)
       try {
         await replica.linearizableRead();
-        read = Number((replica.get(LEADER_KEY)?.value as { term: number } | undefined)?.term) >= term;
+        hasReadOwnRecord =
+          Number((replica.get(LEADER_KEY)?.value as { term: number } | undefined)?.term) >= term;
       } catch {
         await new Promise<void>((resolve) => process.clock.after(300, resolve));
       }
     if (this.term !== term || !process.clock.isAlive) return;
     const stored = replica.get(LEADER_KEY);
-    assert.ok(stored, 'nobody leads');
+    assert.ok(stored, 'there is no leader');
     const modRevision = Number(stored.modRevision);
-    const nodes = this.cloud.hosts.keys();
-    const targetNodes = (): number => this.targetNodes;
+    const nodeNames = this.cloud.hosts.keys();
+    const readTargetNodes = (): number => this.targetNodes;
     const { clock } = process;
-    this.leading = { leader: new ModelLeader({ term, modRevision, clock, roles, nodes, targetNodes }), term };
+    this.electedLeader = {
+      leader: new ModelLeader({
+        term,
+        modRevision,
+        clock,
+        roles,
+        nodeNames,
+        readTargetNodes,
+      }),
+      term,
+    };
   }
 
   get term(): number {
     return (this.state.peek(LEADER_KEY) as { term: number } | undefined)?.term ?? 0;
   }
 
-  /** What is wrong by what the stand-ins saw; none of the code under test has a say. */
-  violations(): string[] {
-    const uncovered = this.log.actions.filter(({ result, isCovered }) => result === 'effect' && !isCovered);
+  /** Lists the broken rules. They are detected in the simulated services, independently of the code under test. */
+  listViolations(): string[] {
+    const uncoveredActions = this.log.actions.filter(
+      ({ result, isCovered }) => result === 'effect' && !isCovered,
+    );
     return [
       ...this.log
         .stale()
-        .accepted.map(({ sender, duty, subject }) => `accepted from ${sender}: ${duty} ${subject}`),
-      ...uncovered.map(({ sender, duty, subject }) => `not committed: ${sender} ${duty} ${subject}`),
+        .accepted.map(
+          ({ sender, duty, subject }) => `accepted from replaced holder ${sender}: ${duty} ${subject}`,
+        ),
+      ...uncoveredActions.map(
+        ({ sender, duty, subject }) => `took effect without commitment: ${sender} ${duty} ${subject}`,
+      ),
       ...this.log.faults,
       ...this.terminatedWhileUsable.map(
         (name) => `${name} was terminated while the leader considered it usable`,
@@ -208,31 +231,35 @@
     ];
   }
 
-  /** What must have happened some time after the last fault. */
-  unfinished(): string[] {
+  /** Lists what is still unfinished. The list must be empty some time after the last fault. */
+  listUnfinished(): string[] {
     const isOpen = ({ state, id }: Intent): boolean =>
       state === 'committed' || (state === 'requested' && id.term === this.term);
-    const missing = this.cloud.hosts.size < this.targetNodes;
+    const areNodesMissing = this.cloud.hosts.size < this.targetNodes;
     return [
       ...ROLES.filter((role) => this.log.holderOf(role) === undefined).map((role) => `nobody holds ${role}`),
-      ...this.intents()
+      ...this.listIntents()
         .filter(isOpen)
         .map(({ role, id }) => `${role} intent ${id.term}-${id.sequence} is still open`),
-      ...(missing ? [`${this.cloud.hosts.size} nodes of ${this.targetNodes}`] : []),
+      ...(areNodesMissing ? [`only ${this.cloud.hosts.size} of ${this.targetNodes} nodes exist`] : []),
     ];
   }
 
   private async recordTerminations(execute: () => Promise<HttpResponse>): Promise<HttpResponse> {
-    const before = [...this.cloud.hosts.keys()];
+    const namesBefore = [...this.cloud.hosts.keys()];
     const response = await execute();
-    const { leading } = this;
-    for (const name of before)
-      if (!this.cloud.hosts.has(name) && leading?.term === this.term && leading.leader.usable.has(name))
+    const { electedLeader } = this;
+    for (const name of namesBefore)
+      if (
+        !this.cloud.hosts.has(name) &&
+        electedLeader?.term === this.term &&
+        electedLeader.leader.usableNodes.has(name)
+      )
         this.terminatedWhileUsable.push(name);
     return response;
   }
 
-  /** One request: it is executed when it arrives, also when its sender has long given up. */
+  /** Sends one request. It is executed when it arrives, even if its sender has already timed out. */
   private call(
     member: string,
     process: ModelProcess,
@@ -240,12 +267,13 @@
   ): Promise<HttpResponse> {
     const { requestDelayMs, responseDelayMs, isResponseLost } = this.deliveryPolicy();
     return new Promise((resolve, reject) => {
-      const later = (ms: number, run: () => void): void => void this.clock.after(ms, () => process.run(run));
-      later(timeoutMs, () => reject(new CallError('unclear', 'no answer')));
+      const runInProcessAfter = (ms: number, run: () => void): void =>
+        void this.clock.after(ms, () => process.run(run));
+      runInProcessAfter(timeoutMs, () => reject(new CallError('unclear', 'no answer')));
       if (address === 'cloud:1' && this.partitionedFromCloud.has(member)) return;
       this.clock.after(requestDelayMs, () => {
         void this.handlers.get(address)!(member, method, target, body).then((response) => {
-          if (response && !isResponseLost) later(responseDelayMs, () => resolve(response));
+          if (response && !isResponseLost) runInProcessAfter(responseDelayMs, () => resolve(response));
         });
       });
     });
--- a/test/duties/model-process.ts
+++ b/test/duties/model-process.ts
@@ -2,19 +2,22 @@
 import type { Clock } from '@pumicehinge/runtime';
 import { ProcessClock, type SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 
-/** A process with its clock, and what reaches it while it is paused; it can't see that it was. */
+/** A process with its own clock. Actions that arrive while it is paused are deferred, so it can't notice the pause. */
 export class ModelProcess {
   readonly clock: ProcessClock;
-  private paused = false;
-  private readonly deferred: (() => void)[] = [];
-  /** ms: added to what its steady clock shows. */
+  private isPaused = false;
+  private readonly deferredActions: (() => void)[] = [];
+  /** Offset in milliseconds that is added to the steady clock. */
   clockOffsetMs = 0;
 
   constructor(base: SimulatedClock) {
     this.clock = new ProcessClock(base, (action) => this.run(action));
   }
 
-  /** The clock as the process sees it; the time of day is of no account, however wrong it is. */
+  /**
+   * The clock as the process sees it. The offset distorts the time of day a thousand times more than the steady clock,
+   * because nothing may depend on the time of day.
+   */
   get visibleClock(): Clock {
     return {
       steadyMs: () => this.clock.steadyMs() + this.clockOffsetMs,
@@ -23,18 +26,18 @@
     };
   }
 
-  /** Runs at once, or when the process is resumed. */
+  /** Runs an action at once, or when the process is resumed if it is paused. */
   run(action: () => void): void {
-    if (this.paused) this.deferred.push(action);
+    if (this.isPaused) this.deferredActions.push(action);
     else if (this.clock.isAlive) action();
   }
 
   pause(): void {
-    this.paused = true;
+    this.isPaused = true;
   }
 
   resume(): void {
-    this.paused = false;
-    for (const action of this.deferred.splice(0)) this.run(action);
+    this.isPaused = false;
+    for (const action of this.deferredActions.splice(0)) this.run(action);
   }
 }
--- a/test/duties/role-holding.test.ts
+++ b/test/duties/role-holding.test.ts
@@ -1,34 +1,40 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { fencingTokenKey, ROLES } from '@pumicehinge/duties';
-import { advance, FIVE, holderOf, settledCluster, THREE } from './settled-cluster.js';
+import {
+  advance,
+  FIVE_CONTROLLERS,
+  requireHolder,
+  createSettledCluster,
+  THREE_CONTROLLERS,
+} from './settled-cluster.js';
 
-test('roles spread over the controllers, and one alone holds all of them', async () => {
-  const five = await settledCluster(FIVE);
-  assert.equal(new Set(five.log.holders()).size, ROLES.length);
-  const one = await settledCluster(['c0']);
-  assert.deepEqual(new Set(one.log.holders()), new Set(['c0']));
+test('roles spread over five controllers, and a single controller holds all of them', async () => {
+  const fiveControllerCluster = await createSettledCluster(FIVE_CONTROLLERS);
+  assert.equal(new Set(fiveControllerCluster.log.holders()).size, ROLES.length);
+  const singleControllerCluster = await createSettledCluster(['c0']);
+  assert.deepEqual(new Set(singleControllerCluster.log.holders()), new Set(['c0']));
 });
 
-test('an actor that fails is replaced, and the work of the roles goes on', async () => {
-  const cluster = await settledCluster(THREE);
-  const failing = holderOf(cluster, 'rent');
-  let failures = 0;
+test('a failed actor is replaced, and the work of the roles continues', async () => {
+  const cluster = await createSettledCluster(THREE_CONTROLLERS);
+  const failingMember = requireHolder(cluster, 'rent');
+  let failureCount = 0;
   cluster.onLeaderRead = (member) => {
-    if (member !== failing || failures >= 3) return;
-    failures++;
-    throw new Error('a fault of the program');
+    if (member !== failingMember || failureCount >= 3) return;
+    failureCount++;
+    throw new Error('simulated bug');
   };
   cluster.targetNodes = 3;
   await advance(cluster, 25_000);
-  assert.equal(failures, 3);
-  assert.deepEqual(cluster.violations(), []);
-  assert.deepEqual(cluster.unfinished(), []);
+  assert.equal(failureCount, 3);
+  assert.deepEqual(cluster.listViolations(), []);
+  assert.deepEqual(cluster.listUnfinished(), []);
 });
 
 test('two processes of one controller do not take roles from each other in turn', async () => {
-  const cluster = await settledCluster(THREE);
-  cluster.start('c1');
+  const cluster = await createSettledCluster(THREE_CONTROLLERS);
+  cluster.startProcess('c1');
   await advance(cluster, 10_000);
   const tokens = (): unknown[] => ROLES.map((role) => cluster.state.peek(fencingTokenKey(role)));
   const before = tokens();
@@ -36,8 +42,8 @@
   assert.deepEqual(tokens(), before);
 });
 
-test('a role is never taken from a holder that is well', async () => {
-  const cluster = await settledCluster(THREE);
+test('a role is never taken from a healthy holder', async () => {
+  const cluster = await createSettledCluster(THREE_CONTROLLERS);
   const tokens = (): unknown[] => ROLES.map((role) => cluster.state.peek(fencingTokenKey(role)));
   const before = tokens();
   await advance(cluster, 120_000);
--- a/test/duties/scenarios.test.ts
+++ b/test/duties/scenarios.test.ts
@@ -21,47 +21,51 @@
 
 const SCENARIO_S = 230;
 const OFFERING = { type: 'm', zone: 'z', spot: false };
-const ALL = ['c0', 'c1', 'c2'];
+const ALL_CONTROLLERS = ['c0', 'c1', 'c2'];
 
-/** Submits jobs; the result must be over at the end. */
-function submitLoad(day: SimDay): SimJob[] {
-  const mustEnd: SimJob[] = [];
+/** Submits jobs, and returns those that must be over at the end. */
+function submitJobs(day: SimDay): SimJob[] {
+  const jobsThatMustEnd: SimJob[] = [];
   day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
   for (let i = 0; i < 12; i++)
     day.at(5 + i * 11, () =>
-      mustEnd.push(day.submit({ tasks: 1 + ((i * 5) % 13), runS: 8 + i, spot: i % 2 === 0 })),
+      jobsThatMustEnd.push(day.submit({ tasks: 1 + ((i * 5) % 13), runS: 8 + i, spot: i % 2 === 0 })),
     );
   day.at(20, () => day.submit({ team: 'red', tasks: 6, runS: 60 }, 15));
-  return mustEnd;
+  return jobsThatMustEnd;
 }
 
-const holderOf = (day: SimDay, role: Role): string | undefined =>
+const readHolder = (day: SimDay, role: Role): string | undefined =>
   (day.state.peek(holderKey(role)) as { member: string } | undefined)?.member;
 
-/** Which faults are injected, at which second, with leased roles on. Every rule must hold and every array end all the same. */
+/**
+ * The faults of each scenario, with the second at which they are injected. Every rule must hold, and every array must
+ * end.
+ */
 const SCENARIOS: { name: string; options?: Partial<DayOptions>; injectFaults: (day: SimDay) => void }[] = [
-  { name: 'quiet', injectFaults: () => undefined },
+  { name: 'no fault', injectFaults: () => undefined },
   {
-    name: 'the holder of the scale-out role is paused for longer than its lease, again and again',
+    name: 'the holder of the scale-out role is paused for longer than its lease several times',
     injectFaults: (day) =>
-      [25, 45, 65, 85].forEach((s) => day.at(s, () => day.freeze(holderOf(day, 'rent') ?? 'c0', 9000))),
+      [25, 45, 65, 85].forEach((s) => day.at(s, () => day.freeze(readHolder(day, 'rent') ?? 'c0', 9000))),
   },
   {
     name: 'leader and role holders crash together',
     injectFaults: (day) =>
       [30, 60, 90].forEach((s) =>
         day.at(s, () => {
-          const members = new Set([day.leader, holderOf(day, 'rent'), holderOf(day, 'return')]);
+          const members = new Set([day.leader, readHolder(day, 'rent'), readHolder(day, 'return')]);
           for (const member of members) if (member) day.crash(member, 3000);
         }),
       ),
   },
   {
     name: 'all controllers crash, and again during the election',
-    injectFaults: (day) => [40, 46.5].forEach((s) => day.at(s, () => ALL.forEach((c) => day.crash(c, 300)))),
+    injectFaults: (day) =>
+      [40, 46.5].forEach((s) => day.at(s, () => ALL_CONTROLLERS.forEach((c) => day.crash(c, 300)))),
   },
   {
-    name: 'the state service is down for longer than a lease, and the cloud after it',
+    name: 'the state service is down for longer than a lease, and then the cloud',
     injectFaults: (day) => {
       day.at(40, () => day.state.refused.add('*'));
       day.at(58, () => day.state.endOutage());
@@ -70,17 +74,17 @@
     },
   },
   {
-    name: 'late transactions',
+    name: 'transactions are executed late',
     injectFaults: (day) => {
       day.at(20, () => (day.state.lateShare = 0.3));
       day.at(90, () => (day.state.lateShare = 0));
     },
   },
   {
-    name: 'one controller without leased roles, which leads for a while',
+    name: 'a controller without leased roles leads for a while',
     options: { duties: ['c0', 'c1'] },
     injectFaults: (day) => {
-      // Only c2 can lead now, with launches and terminations under way.
+      // Only c2 can lead now, while launches and terminations are in progress.
       day.at(14, () => ['c0', 'c1'].forEach((c) => day.crash(c, 9000)));
       day.at(70, () => day.crash('c2', 5000));
       day.at(100, () => ['c0', 'c1'].forEach((c) => day.crash(c, 9000)));
@@ -91,8 +95,14 @@
 
 for (const [i, { name, options, injectFaults }] of SCENARIOS.entries())
   test(`leased roles on: ${name}`, async () => {
-    const day = new SimDay(61 + i, { controllers: 3, machines: 24, scale: 1, duties: ALL, ...options });
-    const mustEnd = submitLoad(day);
+    const day = new SimDay(61 + i, {
+      controllers: 3,
+      machines: 24,
+      scale: 1,
+      duties: ALL_CONTROLLERS,
+      ...options,
+    });
+    const mustEnd = submitJobs(day);
     injectFaults(day);
     day.calmMs = 120_000;
     await day.clock.runUntil(SCENARIO_S * 1000);
@@ -101,52 +111,52 @@
       mustEnd.filter((job) => !day.isOver(job)).map((job) => job.uid),
       [],
     );
-    assert.ok(day.cloud.rented > 0 && holderOf(day, 'rent') !== undefined);
+    assert.ok(day.cloud.rented > 0 && readHolder(day, 'rent') !== undefined);
   });
 
-test('a node costs few writes over its life, and its intents do not stay', async () => {
-  const day = new SimDay(77, { controllers: 3, machines: 24, scale: 4, duties: ALL });
+test('a node causes few writes over its lifetime, and its intents are deleted', async () => {
+  const day = new SimDay(77, { controllers: 3, machines: 24, scale: 4, duties: ALL_CONTROLLERS });
   for (let i = 0; i < 4; i++) day.at(3 + i * 60, () => day.submit({ tasks: 30, runS: 10 }));
   await day.clock.runUntil(480_000);
-  assert.ok(day.cloud.rented >= 20, `${day.cloud.rented} nodes`);
+  assert.ok(day.cloud.rented >= 20, `only ${day.cloud.rented} nodes were launched`);
   const intents = day.state.keys(INTENT_KEY_PREFIX);
   assert.ok(intents.length <= 12, `${intents.length} intents left`);
-  // An intent is requested, committed, completed and deleted; nodes are launched and terminated several at a time.
+  // Each intent is requested, committed, completed and deleted, and most intents concern several nodes.
   assert.ok(day.state.writesOf(INTENT_KEY_PREFIX) <= 4 * day.cloud.rented);
 });
 
-test('with leased roles off the leader is recorded as by the version in production', () => {
+test('with leased roles off, the leader record is the same as that of the version in production', () => {
   assert.equal(formatJson(encodeLeader({ member: 'hearth-2', term: 12, delegates: false })), STORED.leader);
   assert.equal(decodeLeader(JSON.parse(STORED.leader))?.delegates, false);
   assert.equal(decodeLeader(encodeLeader({ member: 'a', term: 3, delegates: true }))?.delegates, true);
 });
 
-test('details are obsolete once their job answers without them', () => {
-  const record = (phase: JobRecord['phase'], spec?: JobRecord['spec']): unknown =>
+test('detail records are obsolete once their job no longer needs them', () => {
+  const encodeJobRecord = (phase: JobRecord['phase'], spec?: JobRecord['spec']): unknown =>
     encodeJob({ phase, tasks: 4, spec, acceptedMs: 5, memberStates: 'S', successor: false, completed: '' });
-  const list = (uid: string): string => dependencyListKey(uid, { id: 'k1', parts: 1 }, 0);
+  const dependencyKey = (uid: string): string => dependencyListKey(uid, { id: 'k1', parts: 1 }, 0);
   const values: [key: string, value: unknown, isObsolete: boolean][] = [
-    [jobKey('done'), record('done'), false],
+    [jobKey('done'), encodeJobRecord('done'), false],
     [completionSegmentKey('done', 1), 'AA==', true],
-    [list('done'), ['job-000001'], true],
-    [jobKey('open'), record('open', jobSpec()), false],
+    [dependencyKey('done'), ['job-000001'], true],
+    [jobKey('open'), encodeJobRecord('open', jobSpec()), false],
     [completionSegmentKey('open', 1), 'AA==', false],
-    [list('open'), ['job-000001'], false],
-    [jobKey('cancelled'), record('cancelled'), false],
-    // Its user is still shown how many tasks were done.
+    [dependencyKey('open'), ['job-000001'], false],
+    [jobKey('cancelled'), encodeJobRecord('cancelled'), false],
+    // Users can still see how many tasks of a cancelled job were done.
     [completionSegmentKey('cancelled', 1), 'AA==', false],
-    [list('cancelled'), ['job-000001'], true],
-    [jobKey('stopping'), record('cancelled', jobSpec()), false],
-    [list('stopping'), ['job-000001'], false],
-    // A submission may be under way.
-    [list('unknown'), ['job-000001'], false],
+    [dependencyKey('cancelled'), ['job-000001'], true],
+    [jobKey('stopping'), encodeJobRecord('cancelled', jobSpec()), false],
+    [dependencyKey('stopping'), ['job-000001'], false],
+    // The submission of the job may be in progress.
+    [dependencyKey('unknown'), ['job-000001'], false],
     [jobKey('odd'), 'rubbish', false],
     [completionSegmentKey('odd', 1), 'AA==', false],
   ];
-  const rows = new Map(values.map(([key, value], i) => [key, { key, value, modRevision: i + 1 }]));
+  const keyValues = new Map(values.map(([key, value], i) => [key, { key, value, modRevision: i + 1 }]));
   const replica = {
-    get: (key: string) => rows.get(key),
-    listPrefix: (prefix: string) => [...rows.values()].filter(({ key }) => key.startsWith(prefix)),
+    get: (key: string) => keyValues.get(key),
+    listPrefix: (prefix: string) => [...keyValues.values()].filter(({ key }) => key.startsWith(prefix)),
   } as unknown as StateReplica;
   const expected = values.filter(([, , isObsolete]) => isObsolete).map(([key]) => key);
   assert.deepEqual(
@@ -159,7 +169,7 @@
   for (const { conditions } of findObsoleteRecords(replica, 100)) assert.equal(conditions.length, 1);
 });
 
-test('an answer of the cloud that does not fit its request is not believed', async () => {
+test('an answer of the cloud that does not match its request is rejected', async () => {
   const cases: [status: number, body: string, kind: string][] = [
     [200, '{"hearths":["vm-1","vm-2"]}', 'launched'],
     [200, '{"hearths":[]}', 'launched'],
@@ -176,6 +186,9 @@
     const result = await provider.launch({ name: 'r-1-1', offering: OFFERING, count: 2 });
     assert.equal(result.kind, kind, `${status} ${body}`);
   }
-  const lost = new HttpCloudProvider({ call: () => Promise.reject(new Error('lost')) }, 'cloud:1');
-  assert.deepEqual(await lost.terminate(['vm-1']), { kind: 'unknown', answered: false });
+  const unreachableProvider = new HttpCloudProvider(
+    { call: () => Promise.reject(new Error('lost')) },
+    'cloud:1',
+  );
+  assert.deepEqual(await unreachableProvider.terminate(['vm-1']), { kind: 'unknown', answered: false });
 });
