--- a/test/golden/external-names.test.ts
+++ b/test/golden/external-names.test.ts
@@ -4,20 +4,21 @@
 import ts from 'typescript';
 
 /**
- * Names that other programs, stored data and operators rely on. A rename that reaches one of them would be understood by
- * neither the other versions of the program nor the services around it, so each must stand where it is encoded or read.
+ * Checks the names that other programs, stored data and operators depend on. If a refactoring renamed one of them, neither
+ * other versions of the program nor the services around it would understand it. Therefore each name must still occur in the
+ * file that encodes or reads it.
  */
-const LIST = new URL('./external-names.txt', import.meta.url);
-const ROOT = new URL('../../', import.meta.url);
+const LIST_URL = new URL('./external-names.txt', import.meta.url);
+const ROOT_URL = new URL('../../', import.meta.url);
 
 /** The external names of one source file. */
-interface NamesOfFile {
+interface ExternalNameGroup {
   readonly file: string;
   readonly names: string[];
 }
 
-function parseList(text: string): NamesOfFile[] {
-  const groups: NamesOfFile[] = [];
+function parseNameList(text: string): ExternalNameGroup[] {
+  const groups: ExternalNameGroup[] = [];
   for (const line of text.split('\n')) {
     if (line === '' || line.startsWith('#')) continue;
     const heading = /^\[(.+)\]$/.exec(line);
@@ -27,16 +28,16 @@
   return groups;
 }
 
-/** Whether a text is a name, or holds it: as a parameter of a query, or as a part if the name is more than one word. */
-const holdsName = (text: string, name: string): boolean =>
+/** Whether a text is a name or contains it, as a query parameter or, for a name that is not a single word, anywhere. */
+const containsName = (text: string, name: string): boolean =>
   text === name || (/^\w+$/.test(name) ? new RegExp(`\\b${name}=`).test(text) : text.includes(name));
 
-/** Whether a text holds a name that no letter, digit or underscore continues; for files that are not TypeScript. */
-const holdsWord = (text: string, name: string): boolean =>
+/** Whether a text contains a name that is not part of a longer word. Used for files that are not TypeScript. */
+const containsWord = (text: string, name: string): boolean =>
   /^\w+$/.test(name) ? new RegExp(`\\b${name}\\b`).test(text) : text.includes(name);
 
-/** What a module can write out: names of properties, and texts. Names of variables, functions and types are left out. */
-function externalTextsOf(file: string, source: string): Set<string> {
+/** Collects what a module can encode: property names and string literals, but no names of variables, functions or types. */
+function collectExternalTexts(file: string, source: string): Set<string> {
   const texts = new Set<string>();
   const visit = (node: ts.Node): void => {
     if (ts.isImportDeclaration(node)) return;
@@ -55,29 +56,31 @@
   return texts;
 }
 
-/** The names that a file no longer holds. */
-function missingNames({ file, names }: NamesOfFile): string[] {
-  const source = readFileSync(new URL(file, ROOT), 'utf8');
-  if (!file.endsWith('.ts')) return names.filter((name) => !holdsWord(source, name));
-  const texts = [...externalTextsOf(file, source)];
-  return names.filter((name) => !texts.some((text) => holdsName(text, name)));
+/** Returns the names that no longer occur in their file. */
+function findMissingNames({ file, names }: ExternalNameGroup): string[] {
+  const source = readFileSync(new URL(file, ROOT_URL), 'utf8');
+  if (!file.endsWith('.ts')) return names.filter((name) => !containsWord(source, name));
+  const texts = [...collectExternalTexts(file, source)];
+  return names.filter((name) => !texts.some((text) => containsName(text, name)));
 }
 
-const GROUPS = parseList(readFileSync(LIST, 'utf8'));
+const NAME_GROUPS = parseNameList(readFileSync(LIST_URL, 'utf8'));
 
-for (const group of GROUPS) {
+for (const group of NAME_GROUPS) {
   test(`${group.file} still encodes or reads its external names`, () => {
-    assert.ok(group.names.length > 0, `${group.file} has no name in the list`);
-    assert.deepEqual(missingNames(group), []);
+    assert.ok(group.names.length > 0, `the list has no names for ${group.file}`);
+    assert.deepEqual(findMissingNames(group), []);
   });
 }
 
-test('the list of external names is whole', () => {
-  const nameCount = GROUPS.reduce((sum, { names }) => sum + names.length, 0);
-  assert.ok(GROUPS.length >= 30, `only ${GROUPS.length} files in the list`);
+test('the list of external names is complete', () => {
+  const nameCount = NAME_GROUPS.reduce((sum, { names }) => sum + names.length, 0);
+  assert.ok(NAME_GROUPS.length >= 30, `only ${NAME_GROUPS.length} files in the list`);
   assert.ok(nameCount >= 300, `only ${nameCount} names in the list`);
 });
 
-test('a name that is gone from its file is found missing', () => {
-  assert.deepEqual(missingNames({ file: 'src/workers/codec.ts', names: ['baton', 'batton'] }), ['batton']);
+test('a name that does not occur in its file is reported as missing', () => {
+  assert.deepEqual(findMissingNames({ file: 'src/workers/codec.ts', names: ['baton', 'batton'] }), [
+    'batton',
+  ]);
 });
