--- a/test/golden/leader-conversation.test.ts
+++ b/test/golden/leader-conversation.test.ts
@@ -1,19 +1,20 @@
+/** Golden forms of everything that a leader sends while it runs jobs, and of its requests for lease votes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
-import { ControllerBench } from './controller-bench.js';
+import { ControllerHarness } from './controller-harness.js';
 import { GoldenForms } from './golden-forms.js';
-import { frameOf, messagesTo } from './peer-bytes.js';
-import { CloudScript } from './worker-script.js';
+import { encodeFrameHex, findMessagesTo } from './peer-frame-hex.js';
+import { FakeCloud } from './fake-cloud.js';
 
 const forms = new GoldenForms('leader-conversation');
 
-/** ms: between two reports of each worker. */
-const REPORT_MS = 500;
-/** ms: for which a step of the conversation may take. */
-const LONGEST_STEP_MS = 90_000;
+/** Interval between two heartbeats of each worker. */
+const HEARTBEAT_INTERVAL_MS = 500;
+/** Simulated time within which each step of the scenario must be completed. */
+const STEP_TIMEOUT_MS = 90_000;
 
-const ARRAY = {
+const ARRAY_JOB = {
   uid: 'job-000001',
   cohort: 'batch',
   crew: 'blue',
@@ -33,142 +34,161 @@
   pinningS: 0,
 };
 
-const SERVICE = { ...ARRAY, uid: 'job-000002', crew: 'red', shape: 'standing', rank: 'prod', pieces: 1 };
+const SERVICE_JOB = {
+  ...ARRAY_JOB,
+  uid: 'job-000002',
+  crew: 'red',
+  shape: 'standing',
+  rank: 'prod',
+  pieces: 1,
+};
 
-/** A controller that leads, the cloud that it rents from, and what goes to and fro between them. */
-class Conversation {
-  readonly cloud = new CloudScript();
-  readonly bench: ControllerBench;
-  /** Workers that report no more. */
-  readonly silent = new Set<string>();
-  /** Answers to reports of workers, each once, in the order in which they first came. */
-  readonly reportAnswers = new Set<string>();
+/** A leading controller with a fake cloud and fake workers, and the messages that they exchange. */
+class LeaderSimulation {
+  readonly cloud = new FakeCloud();
+  readonly harness: ControllerHarness;
+  /** Names of the workers that no longer send heartbeats. */
+  readonly silentWorkers = new Set<string>();
+  /** The distinct responses to heartbeats, in the order of their first occurrence. */
+  readonly heartbeatResponses = new Set<string>();
 
   constructor(dutiesEnabled: boolean) {
-    this.bench = new ControllerBench((call) => this.cloud.answer(call), {
+    this.harness = new ControllerHarness((call) => this.cloud.respond(call), {
       operator: { idleKeepS: 2, useSpot: false, duties: { enabled: dutiesEnabled } },
     });
   }
 
-  /** Lets workers report until something holds. */
-  async until(what: string, isTrue: () => boolean): Promise<void> {
-    for (let passedMs = 0; !isTrue(); passedMs += REPORT_MS) {
-      assert.ok(passedMs < LONGEST_STEP_MS, `not within ${LONGEST_STEP_MS} ms: ${what}`);
+  /** Lets the workers send heartbeats until the condition is met. */
+  async runUntil(description: string, isMet: () => boolean): Promise<void> {
+    for (let elapsedMs = 0; !isMet(); elapsedMs += HEARTBEAT_INTERVAL_MS) {
+      assert.ok(
+        elapsedMs < STEP_TIMEOUT_MS,
+        `step not completed within ${STEP_TIMEOUT_MS} ms: ${description}`,
+      );
       for (const worker of this.cloud.workers.values()) {
-        if (this.silent.has(worker.name)) continue;
-        const answer = await this.bench.ask('POST', '/v1/report', worker.report());
-        this.reportAnswers.add(answer);
-        const [head, body] = answer.split('\r\n\r\n') as [string, string];
-        if (head.startsWith('HTTP/1.1 200')) worker.obey(body);
+        if (this.silentWorkers.has(worker.name)) continue;
+        const response = await this.harness.sendRequest('POST', '/v1/report', worker.createHeartbeat());
+        this.heartbeatResponses.add(response);
+        const [head, body] = response.split('\r\n\r\n') as [string, string];
+        if (head.startsWith('HTTP/1.1 200')) worker.executeCommands(body);
       }
-      await this.bench.pass(REPORT_MS);
+      await this.harness.advance(HEARTBEAT_INTERVAL_MS);
     }
   }
 
-  submit(job: object): Promise<string> {
-    return this.bench.ask('POST', '/submissions', JSON.stringify(job));
+  submitJob(job: object): Promise<string> {
+    return this.harness.sendRequest('POST', '/submissions', JSON.stringify(job));
   }
 
-  /** The tasks that run. */
-  get running(): string[] {
-    return [...this.cloud.workers.values()].flatMap((worker) => worker.running).sort();
+  /** The ids of all running tasks, in ascending order. */
+  get runningTasks(): string[] {
+    return [...this.cloud.workers.values()].flatMap((worker) => worker.runningTasks).sort();
   }
 
-  /** A task ends, wherever it runs. */
-  end(piece: string, cause: string): void {
-    for (const worker of this.cloud.workers.values()) worker.end(piece, cause);
+  /** Ends a task on every worker. */
+  endTask(taskId: string, cause: string): void {
+    for (const worker of this.cloud.workers.values()) worker.endTask(taskId, cause);
   }
 
-  /** What the controller has written into the state service of one key. */
+  /** Whether a transaction that the controller sent to the state store contains the text. */
   hasWritten(text: string): boolean {
-    return this.bench.calls.some((call) => call.includes('/multi') && call.includes(text));
+    return this.harness.calls.some((call) => call.includes('/multi') && call.includes(text));
   }
 }
 
-/** Plays one array and one service from submission to end, and returns all that was said. */
-async function play(dutiesEnabled: boolean): Promise<Conversation> {
-  const talk = new Conversation(dutiesEnabled);
-  const { bench } = talk;
-  bench.start();
-  await talk.until('the controller leads', () => talk.hasWritten('ph/catalog'));
-  await talk.submit(ARRAY);
-  await talk.until('the array runs', () => talk.running.length === 3);
-  talk.end('job-000001/0', 'done');
-  talk.end('job-000001/1', 'error');
-  await talk.until('a task is started again', () => talk.running.length === 2);
-  await talk.submit(SERVICE);
-  await talk.until('the service runs', () => talk.running.includes('job-000002/0'));
-  talk.end('job-000001/1', 'done');
-  talk.end('job-000001/2', 'done');
-  await talk.until('the array is done', () => talk.hasWritten('"p":"d"'));
-  await bench.ask('POST', '/submissions/job-000002/abort');
-  await talk.until('the service is stopped', () => talk.running.length === 0);
-  // One machine is heard of no more; the others are not needed any more.
-  talk.silent.add('vm-1');
-  await talk.until('the silent machine is taken back', () => !talk.cloud.workers.has('vm-1'));
-  await talk.until('all machines are given back', () => talk.cloud.workers.size === 0);
-  await bench.pass(6_000);
-  return talk;
+/** Runs an array job and a service from submission to the termination of all nodes. */
+async function runScenario(dutiesEnabled: boolean): Promise<LeaderSimulation> {
+  const simulation = new LeaderSimulation(dutiesEnabled);
+  const { harness } = simulation;
+  harness.start();
+  await simulation.runUntil('the controller is the leader', () => simulation.hasWritten('ph/catalog'));
+  await simulation.submitJob(ARRAY_JOB);
+  await simulation.runUntil('the tasks of the array run', () => simulation.runningTasks.length === 3);
+  simulation.endTask('job-000001/0', 'done');
+  simulation.endTask('job-000001/1', 'error');
+  await simulation.runUntil('the failed task is restarted', () => simulation.runningTasks.length === 2);
+  await simulation.submitJob(SERVICE_JOB);
+  await simulation.runUntil('the service runs', () => simulation.runningTasks.includes('job-000002/0'));
+  simulation.endTask('job-000001/1', 'done');
+  simulation.endTask('job-000001/2', 'done');
+  await simulation.runUntil('the array is done', () => simulation.hasWritten('"p":"d"'));
+  await harness.sendRequest('POST', '/submissions/job-000002/abort');
+  await simulation.runUntil('the service is stopped', () => simulation.runningTasks.length === 0);
+  // One worker stops sending heartbeats. The other nodes are no longer needed.
+  simulation.silentWorkers.add('vm-1');
+  await simulation.runUntil(
+    'the node without heartbeats is terminated',
+    () => !simulation.cloud.workers.has('vm-1'),
+  );
+  await simulation.runUntil('all nodes are terminated', () => simulation.cloud.workers.size === 0);
+  await harness.advance(6_000);
+  return simulation;
 }
 
-/** The calls to one host or kind of host, each once, in the order in which they first came. */
-function callsTo(talk: Conversation, address: RegExp): string[] {
-  return [...new Set(talk.bench.calls.filter((call) => address.test(call)))];
+/** The distinct requests whose address matches, in the order of their first occurrence. */
+function findDistinctCalls(simulation: LeaderSimulation, address: RegExp): string[] {
+  return [...new Set(simulation.harness.calls.filter((call) => address.test(call)))];
 }
 
 for (const [name, dutiesEnabled] of [
   ['duties off', false],
   ['duties on', true],
 ] as const)
-  test(`all that a leader says from a submission to the end of its machines: ${name}`, async () => {
-    const talk = await play(dutiesEnabled);
-    const said: Record<string, string[]> = {
-      'to the state service': callsTo(talk, /^state:1 /),
-      'to the cloud': callsTo(talk, /^cloud:1 /),
-      'to workers': callsTo(talk, /^vm-/),
-      'in answers to reports': [...talk.reportAnswers],
-      'to its peers': [...new Set(talk.bench.frames)],
+  test(`messages of a leader from submission to termination of its nodes: ${name}`, async () => {
+    const simulation = await runScenario(dutiesEnabled);
+    const linesByDestination: Record<string, string[]> = {
+      'to the state service': findDistinctCalls(simulation, /^state:1 /),
+      'to the cloud': findDistinctCalls(simulation, /^cloud:1 /),
+      'to workers': findDistinctCalls(simulation, /^vm-/),
+      'in answers to reports': [...simulation.heartbeatResponses],
+      'to its peers': [...new Set(simulation.harness.sentFrames)],
     };
-    for (const [part, lines] of Object.entries(said)) {
-      assert.ok(lines.length > 0, part);
-      lines.forEach((line, i) => forms.check(`${name}, ${part} ${i + 1}`, line));
+    for (const [destination, lines] of Object.entries(linesByDestination)) {
+      assert.ok(lines.length > 0, destination);
+      lines.forEach((line, index) => forms.check(`${name}, ${destination} ${index + 1}`, line));
     }
-    const answers = said['in answers to reports']!.join('\n');
-    const commands = said['to workers']!.join('\n');
+    const responseText = linesByDestination['in answers to reports']!.join('\n');
+    const commandText = linesByDestination['to workers']!.join('\n');
     for (const verb of ['run', 'stop', 'clear'])
-      assert.ok(`${answers}\n${commands}`.includes(`"verb":"${verb}"`), `no command ${verb}`);
+      assert.ok(
+        `${responseText}\n${commandText}`.includes(`"verb":"${verb}"`),
+        `the leader sent no command ${verb}`,
+      );
   });
 
-test('a leader that the state service does not serve asks its peers, and reads on in their logs', async () => {
-  const bench = new ControllerBench();
-  bench.start();
-  await bench.pass(5_000);
-  bench.state.refused.add('*');
-  const asked = (): PeerMessage[] =>
-    messagesTo(bench, 'hearth-1').filter((message) => message.kind === 'leaseVoteRequest');
-  for (let passedMs = 0; asked().length === 0; passedMs += 10) {
-    assert.ok(passedMs < LONGEST_STEP_MS, 'nothing was asked');
-    await bench.pass(10);
+test('a leader that the state store does not serve requests votes, then continues from their end offset', async () => {
+  const harness = new ControllerHarness();
+  harness.start();
+  await harness.advance(5_000);
+  harness.stateStore.refused.add('*');
+  const findVoteRequests = (): PeerMessage[] =>
+    findMessagesTo(harness, 'hearth-1').filter((message) => message.kind === 'leaseVoteRequest');
+  for (let elapsedMs = 0; findVoteRequests().length === 0; elapsedMs += 10) {
+    assert.ok(elapsedMs < STEP_TIMEOUT_MS, 'the leader sent no vote request in time');
+    await harness.advance(10);
   }
-  const [first] = asked();
+  const [first] = findVoteRequests();
   assert.ok(first?.kind === 'leaseVoteRequest');
   const transfer = { messageCount: 0, endOffset: { logId: 77, sequence: 3 } };
   for (const member of ['hearth-1', 'hearth-2', 'hearth-3'])
-    bench.hear(member, {
+    harness.receiveFromPeer(member, {
       kind: 'leaseVote',
       round: first.round,
       term: first.term,
       isGranted: true,
       transfer,
     });
-  await bench.pass(1_000);
-  const [, second] = asked();
+  await harness.advance(1_000);
+  const [, second] = findVoteRequests();
   assert.ok(second?.kind === 'leaseVoteRequest');
   assert.deepEqual(second.offset, transfer.endOffset);
-  forms.check('not served: first question', frameOf(first));
-  forms.check('not served: second question', frameOf(second));
+  forms.check('not served: first question', encodeFrameHex(first));
+  forms.check('not served: second question', encodeFrameHex(second));
   for (const message of [first, second])
-    assert.ok(bench.frames.includes(`hearth-1 ${frameOf(message)}`), 'sent as it is encoded');
+    assert.ok(
+      harness.sentFrames.includes(`hearth-1 ${encodeFrameHex(message)}`),
+      'the sent frame differs from the encoded message',
+    );
 });
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/peer-connection.test.ts
+++ b/test/golden/peer-connection.test.ts
@@ -1,3 +1,4 @@
+/** Golden form of the first frame of a connection between controllers, tested on real sockets. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
@@ -11,104 +12,117 @@
 import { GoldenForms, readForms } from './golden-forms.js';
 
 const forms = new GoldenForms('peer-connection');
-const LOOPBACK = '127.0.0.1';
-const TIME_LIMIT = { timeout: 20_000 };
-const ABLE: PeerMessage = { kind: 'status', isEligible: true, relayTarget: 'hearth-1' };
+const LOOPBACK_ADDRESS = '127.0.0.1';
+const TEST_OPTIONS = { timeout: 20_000 };
+const STATUS_MESSAGE: PeerMessage = { kind: 'status', isEligible: true, relayTarget: 'hearth-1' };
 
-/** Timers never fire: nothing is repeated, and nothing keeps the process busy after a test. */
-const STILL_CLOCK: Clock = { steadyMs: () => 0, wallMs: () => 0, after: () => () => undefined };
+/** A clock whose timers never fire, so that no message is repeated and no timer keeps the process alive after a test. */
+const STOPPED_CLOCK: Clock = { steadyMs: () => 0, wallMs: () => 0, after: () => () => undefined };
 
-const frames = readForms(new URL('./forms/peer-frames.json', import.meta.url));
+const frameForms = readForms(new URL('./forms/peer-frames.json', import.meta.url));
 
-/** A frame as the forms of frames hold it. */
-function frameOf(name: string): string {
-  const hex = frames[name];
-  assert.ok(hex !== undefined, `no frame has the name "${name}"`);
+/** Returns a frame in hex from the golden forms of frames. */
+function getFrame(name: string): string {
+  const hex = frameForms[name];
+  assert.ok(hex !== undefined, `no frame is named "${name}"`);
   return hex;
 }
 
-async function listen(server: Server): Promise<number> {
-  server.listen(0, LOOPBACK);
+async function listenOnFreePort(server: Server): Promise<number> {
+  server.listen(0, LOOPBACK_ADDRESS);
   await once(server, 'listening');
   return (server.address() as AddressInfo).port;
 }
 
-async function freePort(): Promise<number> {
+async function findFreePort(): Promise<number> {
   const server = createServer();
-  const port = await listen(server);
+  const port = await listenOnFreePort(server);
   server.close();
   await once(server, 'close');
   return port;
 }
 
-/** Waits for a condition; fails after some seconds. */
-async function until(isMet: () => boolean): Promise<void> {
-  for (let tries = 0; tries < 500; tries++) {
+/** Waits until a condition is met, and fails after a few seconds. */
+async function waitUntil(isMet: () => boolean): Promise<void> {
+  for (let attempt = 0; attempt < 500; attempt++) {
     if (isMet()) return;
     await pause(10);
   }
-  assert.fail('waited in vain');
+  assert.fail('the condition was not met in time');
 }
 
-/** The links of the controller hearth-0 on real sockets, and its only peer hearth-1, which is the test itself. */
-async function connectPair(context: TestContext) {
+/**
+ * Starts the transport of the controller hearth-0 on real sockets. The test plays its only peer, hearth-1. `observed` holds
+ * the bytes that the peer received and the messages that the transport delivered.
+ */
+async function connectTransport(context: TestContext) {
   const sockets: Socket[] = [];
-  const pair = { received: '', heard: [] as [member: string, message: PeerMessage][] };
-  const track = (socket: Socket): Socket => {
+  const observed = { receivedHex: '', deliveredMessages: [] as [member: string, message: PeerMessage][] };
+  const trackSocket = (socket: Socket): Socket => {
     sockets.push(socket);
     return socket.on('error', () => undefined);
   };
-  const peer = createServer((socket) =>
-    track(socket).on('data', (data: Buffer) => (pair.received += data.toString('hex'))),
+  const peerServer = createServer((socket) =>
+    trackSocket(socket).on('data', (data: Buffer) => (observed.receivedHex += data.toString('hex'))),
   );
-  const address = `${LOOPBACK}:${await listen(peer)}`;
-  const seeds = [{ member: 'hearth-1', zone: 'a', address }];
-  const links = new TcpPeerTransport({
+  const address = `${LOOPBACK_ADDRESS}:${await listenOnFreePort(peerServer)}`;
+  const peers = [{ member: 'hearth-1', zone: 'a', address }];
+  const transport = new TcpPeerTransport({
     member: 'hearth-0',
-    peers: seeds,
+    peers,
     maxBufferedBytes: MAX_PEER_FRAME_BYTES,
-    clock: STILL_CLOCK,
+    clock: STOPPED_CLOCK,
     log: pino({ level: 'silent' }),
   });
-  links.onMessage((member, message) => pair.heard.push([member, message]));
-  const port = await freePort();
-  await links.listen(`${LOOPBACK}:${port}`);
-  const toLinks = track(connect({ host: LOOPBACK, port }));
+  transport.onMessage((member, message) => observed.deliveredMessages.push([member, message]));
+  const port = await findFreePort();
+  await transport.listen(`${LOOPBACK_ADDRESS}:${port}`);
+  const socketToTransport = trackSocket(connect({ host: LOOPBACK_ADDRESS, port }));
   context.after(() => {
-    links.close();
-    peer.close();
+    transport.close();
+    peerServer.close();
     for (const socket of sockets) socket.destroy();
   });
-  return { links, pair, toLinks };
+  return { transport, observed, socketToTransport };
 }
 
-test('a connection begins with the name of its controller, then come messages', TIME_LIMIT, async (t) => {
-  const { links, pair } = await connectPair(t);
-  await until(() => links.send('hearth-1', ABLE));
-  await until(() => pair.received.endsWith(frameOf('able, relays')));
-  const [name, ...rest] = pair.received.split(frameOf('beat'));
-  forms.check('name of the controller', name!);
-  assert.deepEqual(rest, [frameOf('able, relays')]);
-});
+test(
+  'a connection starts with the name of the controller, followed by messages',
+  TEST_OPTIONS,
+  async (context) => {
+    const { transport, observed } = await connectTransport(context);
+    await waitUntil(() => transport.send('hearth-1', STATUS_MESSAGE));
+    await waitUntil(() => observed.receivedHex.endsWith(getFrame('able, relays')));
+    const [nameFrame, ...laterFrames] = observed.receivedHex.split(getFrame('beat'));
+    forms.check('name of the controller', nameFrame!);
+    assert.deepEqual(laterFrames, [getFrame('able, relays')]);
+  },
+);
 
-const hexOf = (text: string): string => Buffer.from(text).toString('hex');
+const toHex = (text: string): string => Buffer.from(text).toString('hex');
 
-test('messages of a peer are heard once it has said its name', TIME_LIMIT, async (t) => {
-  const { pair, toLinks } = await connectPair(t);
-  const name = forms.text('name of the controller').replace(hexOf('hearth-0'), hexOf('hearth-1'));
-  toLinks.write(Buffer.from(name + frameOf('foreign: unknown kind') + frameOf('able, relays'), 'hex'));
-  await until(() => pair.heard.length > 0);
-  assert.deepEqual(pair.heard, [['hearth-1', ABLE]]);
+test('messages of a peer are delivered after it has sent its name', TEST_OPTIONS, async (context) => {
+  const { observed, socketToTransport } = await connectTransport(context);
+  const nameFrame = forms.getText('name of the controller').replace(toHex('hearth-0'), toHex('hearth-1'));
+  socketToTransport.write(
+    Buffer.from(nameFrame + getFrame('foreign: unknown kind') + getFrame('able, relays'), 'hex'),
+  );
+  await waitUntil(() => observed.deliveredMessages.length > 0);
+  assert.deepEqual(observed.deliveredMessages, [['hearth-1', STATUS_MESSAGE]]);
 });
 
-test('who is no peer is not listened to', TIME_LIMIT, async (t) => {
-  const { pair, toLinks } = await connectPair(t);
-  const closed = once(toLinks, 'close');
-  toLinks.resume();
-  // The name of the controller itself, which is none of its peers.
-  toLinks.write(Buffer.from(forms.text('name of the controller') + frameOf('beat'), 'hex'));
-  await closed;
-  assert.deepEqual(pair.heard, []);
-});
+test(
+  'a connection from a controller that is not a peer is closed, and its messages are dropped',
+  TEST_OPTIONS,
+  async (context) => {
+    const { observed, socketToTransport } = await connectTransport(context);
+    const closeEvent = once(socketToTransport, 'close');
+    socketToTransport.resume();
+    // The controller's own name is not the name of a peer.
+    socketToTransport.write(Buffer.from(forms.getText('name of the controller') + getFrame('beat'), 'hex'));
+    await closeEvent;
+    assert.deepEqual(observed.deliveredMessages, []);
+  },
+);
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/peer-frames.test.ts
+++ b/test/golden/peer-frames.test.ts
@@ -1,16 +1,17 @@
+/** Golden forms of the frames between controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import { encodeJob, jobKey } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
 import { GoldenForms } from './golden-forms.js';
-import { foreignFrameOf, frameOf, messagesIn } from './peer-bytes.js';
+import { encodeRawFrameHex, encodeFrameHex, decodeFramesHex } from './peer-frame-hex.js';
 
 const forms = new GoldenForms('peer-frames');
 
-const LARGE = 2n ** 63n + 1n;
+const LARGE_INTEGER = 2n ** 63n + 1n;
 
-const CANCELLED = encodeJob({
+const CANCELLED_JOB_VALUE = encodeJob({
   phase: 'cancelled',
   tasks: 4,
   spec: jobSpec(),
@@ -20,7 +21,7 @@
   completed: 'Aw==',
 });
 
-/** Each kind of message, with each field that may be lacking there and not. */
+/** Messages of every kind, with and without each optional field. */
 const MESSAGES: Record<string, PeerMessage> = {
   beat: { kind: 'heartbeat' },
   'counts, none': { kind: 'counts', running: {} },
@@ -44,7 +45,7 @@
     kind: 'leaseVoteRequest',
     round: 3,
     term: 12,
-    sinceRevision: LARGE,
+    sinceRevision: LARGE_INTEGER,
     offset: { logId: 2 ** 47 + 1, sequence: 300 },
   },
   'cancellations, two jobs': {
@@ -52,8 +53,8 @@
     round: 2,
     term: 12,
     jobs: [
-      { key: jobKey('job-000001'), value: CANCELLED, modRevision: 401 },
-      { key: jobKey('job-000002'), value: CANCELLED, modRevision: LARGE },
+      { key: jobKey('job-000001'), value: CANCELLED_JOB_VALUE, modRevision: 401 },
+      { key: jobKey('job-000002'), value: CANCELLED_JOB_VALUE, modRevision: LARGE_INTEGER },
     ],
   },
   'cancellations, none': { kind: 'cancellations', round: 2, term: 12, jobs: [] },
@@ -74,8 +75,8 @@
   'promise, does not inform': { kind: 'leaseVote', round: 2, term: 12, isGranted: true, transfer: undefined },
 };
 
-/** Messages as some senders leave fields out, and what is read of them. */
-const LEFT_OUT: Record<string, [sent: PeerMessage, read: PeerMessage]> = {
+/** Messages whose sender omits fields, and the messages that the receiver decodes. */
+const OMITTED_FIELD_CASES: Record<string, [sent: PeerMessage, expected: PeerMessage]> = {
   'ask, neither since nor read': [
     { kind: 'leaseVoteRequest', round: 1, term: 12 },
     { kind: 'leaseVoteRequest', round: 1, term: 12, sinceRevision: undefined, offset: undefined },
@@ -90,27 +91,27 @@
   ],
 };
 
-/** What a controller understands of the bytes of one message; undefined: nothing. */
-function understood(hex: string): PeerMessage | undefined {
-  const messages = messagesIn(hex);
+/** Decodes the frame of a single message. Returns undefined if the controller ignores the message. */
+function decodeSingleMessage(hex: string): PeerMessage | undefined {
+  const messages = decodeFramesHex(hex);
   assert.equal(messages.length, 1);
   return messages[0];
 }
 
 for (const [name, message] of Object.entries(MESSAGES))
   test(`frame: ${name}`, () => {
-    forms.check(name, frameOf(message));
-    assert.deepEqual(understood(forms.text(name)), message);
+    forms.check(name, encodeFrameHex(message));
+    assert.deepEqual(decodeSingleMessage(forms.getText(name)), message);
   });
 
-for (const [name, [sent, read]] of Object.entries(LEFT_OUT))
+for (const [name, [sent, expected]] of Object.entries(OMITTED_FIELD_CASES))
   test(`frame: ${name}`, () => {
-    forms.check(name, frameOf(sent));
-    assert.deepEqual(understood(forms.text(name)), read);
+    forms.check(name, encodeFrameHex(sent));
+    assert.deepEqual(decodeSingleMessage(forms.getText(name)), expected);
   });
 
-/** Frames of other versions, in the words of the wire, and what is read of them; undefined: nothing. */
-const FOREIGN: Record<string, [frame: Record<string, unknown>, read: PeerMessage | undefined]> = {
+/** Frames of other versions in the wire format, and the decoded message. Undefined if the frame is ignored. */
+const FOREIGN_FRAMES: Record<string, [frame: Record<string, unknown>, expected: PeerMessage | undefined]> = {
   'beat, later field': [{ kind: 'beat', later: 1 }, MESSAGES.beat],
   'counts, odd counts': [
     { kind: 'counts', running: { a: 1, b: -1, c: 'x', d: 1.5, e: null }, later: 1 },
@@ -183,14 +184,15 @@
   'no kind': [{ id: 1, term: 1 }, undefined],
 };
 
-for (const [name, [frame, read]] of Object.entries(FOREIGN))
-  test(`foreign frame: ${name}`, () => {
-    forms.check(`foreign: ${name}`, foreignFrameOf(frame));
-    assert.deepEqual(understood(forms.text(`foreign: ${name}`)), read);
+for (const [name, [frame, expected]] of Object.entries(FOREIGN_FRAMES))
+  test(`frame of another version: ${name}`, () => {
+    forms.check(`foreign: ${name}`, encodeRawFrameHex(frame));
+    assert.deepEqual(decodeSingleMessage(forms.getText(`foreign: ${name}`)), expected);
   });
 
-test('a frame whose message is no map is passed over', () => {
-  for (const value of [7, 'beat', null, ['beat']]) assert.equal(understood(foreignFrameOf(value)), undefined);
+test('a frame whose content is not a map is ignored', () => {
+  for (const value of [7, 'beat', null, ['beat']])
+    assert.equal(decodeSingleMessage(encodeRawFrameHex(value)), undefined);
 });
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -9,26 +9,26 @@
 import { formatJson, parseJson } from '../../src/wire/json.js';
 import { jobSpec } from '../fixtures.js';
 import { readForms } from './golden-forms.js';
-import { foreignFrameOf, frameOf, messagesIn } from './peer-bytes.js';
+import { encodeRawFrameHex, encodeFrameHex, decodeFramesHex } from './peer-frame-hex.js';
 
 /**
- * Forms that the version in production (deploy/service.toml) wrote, made by its own code: its encoders of records,
- * a leader of its simulated day, and its peer connection on real sockets. They are read as what that version meant, and what both versions write is the same
- * to the byte. The files never change; a later version in production gets files of its own.
+ * Forms that the code of the version in production (deploy/service.toml) wrote: its record encoders, a leader in its
+ * simulation of a day, and its peer connection on real sockets. This version must decode them to the same values. What both
+ * versions encode must be the same bytes. The files never change. A later version in production gets its own files.
  */
-const stored = readForms(new URL('./forms/production-8544a85e-stored.json', import.meta.url));
-const frames = readForms(new URL('./forms/production-8544a85e-frames.json', import.meta.url));
+const storedForms = readForms(new URL('./forms/production-8544a85e-stored.json', import.meta.url));
+const frameForms = readForms(new URL('./forms/production-8544a85e-frames.json', import.meta.url));
 
-const readStored = new Set<string>();
+const checkedStoredNames = new Set<string>();
 
-function storedText(form: string): string {
-  const text = stored[form];
-  assert.ok(text !== undefined, form);
-  readStored.add(form);
+function getStoredText(formName: string): string {
+  const text = storedForms[formName];
+  assert.ok(text !== undefined, formName);
+  checkedStoredNames.add(formName);
   return text;
 }
 
-const OPEN: records.JobRecord = {
+const OPEN_JOB: records.JobRecord = {
   phase: 'open',
   tasks: 4,
   spec: jobSpec(),
@@ -38,7 +38,7 @@
   completed: '',
 };
 
-const SERVICE = jobSpec({
+const SERVICE_SPEC = jobSpec({
   uid: 'job-312747',
   jobClass: 'league-tables',
   team: 'quizmaster-tools',
@@ -61,28 +61,35 @@
   deadlineS: 143,
 });
 
-const OVER: records.JobRecord = { ...OPEN, spec: undefined };
+const JOB_WITHOUT_SPEC: records.JobRecord = { ...OPEN_JOB, spec: undefined };
 
 const JOBS: Record<string, records.JobRecord> = {
-  'open array': OPEN,
-  'open service': { ...OPEN, tasks: 3, spec: SERVICE },
-  'some tasks finished': { ...OPEN, memberStates: 'EN', completed: 'Bw==' },
-  'successor runs': { ...OPEN, memberStates: 'FE', successor: true },
-  done: { ...OVER, phase: 'done', memberStates: 'SN' },
-  'done, description still there': { ...OPEN, phase: 'done', memberStates: 'S', completed: 'Dw==' },
-  cancelled: { ...OVER, phase: 'cancelled', memberStates: 'FE' },
-  'cancelled, description still there': { ...OPEN, phase: 'cancelled', memberStates: 'E', completed: 'AQ==' },
-  ...Object.fromEntries(records.RANKS.map((rank) => [`rank ${rank}`, { ...OPEN, spec: jobSpec({ rank }) }])),
+  'open array': OPEN_JOB,
+  'open service': { ...OPEN_JOB, tasks: 3, spec: SERVICE_SPEC },
+  'some tasks finished': { ...OPEN_JOB, memberStates: 'EN', completed: 'Bw==' },
+  'successor runs': { ...OPEN_JOB, memberStates: 'FE', successor: true },
+  done: { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'SN' },
+  'done, description still there': { ...OPEN_JOB, phase: 'done', memberStates: 'S', completed: 'Dw==' },
+  cancelled: { ...JOB_WITHOUT_SPEC, phase: 'cancelled', memberStates: 'FE' },
+  'cancelled, description still there': {
+    ...OPEN_JOB,
+    phase: 'cancelled',
+    memberStates: 'E',
+    completed: 'AQ==',
+  },
+  ...Object.fromEntries(
+    records.RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }]),
+  ),
 };
 
 for (const [name, record] of Object.entries(JOBS))
   test(`production, job: ${name}`, () => {
-    const text = storedText(`job: ${name}`);
+    const text = getStoredText(`job: ${name}`);
     assert.deepEqual(records.decodeJob(parseJson(text)), record);
     assert.equal(formatJson(records.encodeJob(record)), text);
   });
 
-const GROUPS: Record<string, records.NodeGroupRecord> = {
+const NODE_GROUPS: Record<string, records.NodeGroupRecord> = {
   spot: {
     type: 'kufel-node',
     zone: 'warszawa-a',
@@ -95,28 +102,28 @@
   ordinary: { type: 'g8', zone: 'a', spot: false, nodeAddresses: new Map([['vm-2', '10.1.0.2:9000']]) },
 };
 
-for (const [name, group] of Object.entries(GROUPS))
-  test(`production, machine group: ${name}`, () => {
-    const text = storedText(`machine group: ${name}`);
+for (const [name, group] of Object.entries(NODE_GROUPS))
+  test(`production, node group: ${name}`, () => {
+    const text = getStoredText(`machine group: ${name}`);
     assert.deepEqual(records.decodeNodeGroup(parseJson(text)), group);
     assert.equal(formatJson(records.encodeNodeGroup(group)), text);
   });
 
 test('production, delegated leases', () => {
-  const kept: records.DelegatedLeasesRecord = { term: 12, nodes: ['vm-000039', 'vm-000040'] };
-  const text = storedText('delegated leases');
-  assert.deepEqual(records.decodeDelegatedLeases(parseJson(text)), kept);
-  assert.equal(formatJson(records.encodeDelegatedLeases(kept)), text);
+  const delegatedLeases: records.DelegatedLeasesRecord = { term: 12, nodes: ['vm-000039', 'vm-000040'] };
+  const text = getStoredText('delegated leases');
+  assert.deepEqual(records.decodeDelegatedLeases(parseJson(text)), delegatedLeases);
+  assert.equal(formatJson(records.encodeDelegatedLeases(delegatedLeases)), text);
 });
 
 test('production, leader', () => {
   const leader: records.LeaderRecord = { member: 'c0', term: 1, delegates: false };
-  const text = storedText('leader');
+  const text = getStoredText('leader');
   assert.deepEqual(records.decodeLeader(parseJson(text)), leader);
   assert.equal(formatJson(records.encodeLeader(leader)), text);
 });
 
-const TYPES: InstanceType[] = [
+const INSTANCE_TYPES: InstanceType[] = [
   {
     name: 'm4',
     cpus: 4,
@@ -132,31 +139,31 @@
 ];
 
 test('production, catalog', () => {
-  assert.deepEqual(records.decodeInstanceTypes(parseJson(storedText('catalog'))), TYPES);
+  assert.deepEqual(records.decodeInstanceTypes(parseJson(getStoredText('catalog'))), INSTANCE_TYPES);
 });
 
-test('production, losses of spot machines', () => {
-  const text = storedText('losses');
+test('production, spot interruption rate', () => {
+  const text = getStoredText('losses');
   assert.equal(formatJson(new SpotInterruptionRate(parseJson(text), 0).toRecord()), text);
-  const own = new SpotInterruptionRate(undefined, 0);
-  own.recordUsage(3, 5_400_000);
-  own.recordInterruption(5_400_000);
-  assert.equal(formatJson(own.toRecord()), text);
+  const interruptionRate = new SpotInterruptionRate(undefined, 0);
+  interruptionRate.recordUsage(3, 5_400_000);
+  interruptionRate.recordInterruption(5_400_000);
+  assert.equal(formatJson(interruptionRate.toRecord()), text);
 });
 
-test('production, finished tasks of a large array', () => {
+test('production, completed tasks of a large array', () => {
   const tasks = COMPLETION_SEGMENT_TASKS * 2 + 9;
   const finished = [0, 9, COMPLETION_SEGMENT_TASKS + 17, COMPLETION_SEGMENT_TASKS * 2 + 8];
-  const read = new CompletionBitmap(tasks);
-  const own = new CompletionBitmap(tasks);
-  for (const task of finished) own.add(task);
-  for (const chunk of [0, 1, 2]) {
-    const text = storedText(`finished tasks, part ${chunk}`);
-    records.decodeCompletionSegment(read, chunk, text);
-    assert.equal(records.encodeCompletionSegment(own, chunk), text);
+  const decodedTasks = new CompletionBitmap(tasks);
+  const completedTasks = new CompletionBitmap(tasks);
+  for (const task of finished) completedTasks.add(task);
+  for (const segment of [0, 1, 2]) {
+    const text = getStoredText(`finished tasks, part ${segment}`);
+    records.decodeCompletionSegment(decodedTasks, segment, text);
+    assert.equal(records.encodeCompletionSegment(completedTasks, segment), text);
   }
-  assert.equal(read.completedCount, finished.length);
-  for (const task of finished) assert.ok(read.has(task), String(task));
+  assert.equal(decodedTasks.completedCount, finished.length);
+  for (const task of finished) assert.ok(decodedTasks.has(task), String(task));
 });
 
 const KEYS: Record<string, string> = {
@@ -171,7 +178,7 @@
 };
 
 for (const [name, key] of Object.entries(KEYS))
-  test(`production, key: ${name}`, () => assert.equal(key, storedText(`key: ${name}`)));
+  test(`production, key: ${name}`, () => assert.equal(key, getStoredText(`key: ${name}`)));
 
 const MESSAGES: Record<string, PeerMessage> = {
   beat: { kind: 'heartbeat' },
@@ -212,27 +219,29 @@
 
 for (const [name, message] of Object.entries(MESSAGES))
   test(`production, frame: ${name}`, () => {
-    const hex = frames[name];
+    const hex = frameForms[name];
     assert.ok(hex !== undefined, name);
-    const read = messagesIn(hex);
-    assert.deepEqual(read, [message]);
-    assert.equal(frameOf(message), hex);
+    const decoded = decodeFramesHex(hex);
+    assert.deepEqual(decoded, [message]);
+    assert.equal(encodeFrameHex(message), hex);
   });
 
-test('production, frame: promise that is not given', () => {
-  const read = messagesIn(frames['promise, not given']!);
-  assert.deepEqual(read, [{ kind: 'leaseVote', round: 2, term: 12, isGranted: false, transfer: undefined }]);
+test('production, frame: lease vote that is not granted', () => {
+  const decoded = decodeFramesHex(frameForms['promise, not given']!);
+  assert.deepEqual(decoded, [
+    { kind: 'leaseVote', round: 2, term: 12, isGranted: false, transfer: undefined },
+  ]);
   const sent: PeerMessage = { kind: 'leaseVote', round: 2, term: 12, isGranted: false };
-  assert.equal(frameOf(sent), frames['promise, not given']);
+  assert.equal(encodeFrameHex(sent), frameForms['promise, not given']);
 });
 
 test('production, first frame of a connection', () => {
-  assert.equal(foreignFrameOf({ member: 'hearth-0' }), frames['name of the controller']);
+  assert.equal(encodeRawFrameHex({ member: 'hearth-0' }), frameForms['name of the controller']);
 });
 
-test('each form of the version in production is read', () => {
-  // The term is written and read where the leader is elected (leader-conversation.test.ts).
-  assert.deepEqual([...readStored, 'term'].sort(), Object.keys(stored).sort());
-  const known = [...Object.keys(MESSAGES), 'promise, not given', 'name of the controller'];
-  assert.deepEqual(Object.keys(frames).sort(), known.sort());
+test('every form of the version in production is checked', () => {
+  // The term is covered by leader-conversation.test.ts, which elects a leader.
+  assert.deepEqual([...checkedStoredNames, 'term'].sort(), Object.keys(storedForms).sort());
+  const checkedFrameNames = [...Object.keys(MESSAGES), 'promise, not given', 'name of the controller'];
+  assert.deepEqual(Object.keys(frameForms).sort(), checkedFrameNames.sort());
 });
--- a/test/golden/recording-caller.ts
+++ b/test/golden/recording-caller.ts
@@ -1,6 +1,6 @@
 import { CallError, type HttpCaller, type HttpResponse } from '../../src/http/message.js';
 
-/** One call, as its receiver sees it. */
+/** An HTTP request, as its receiver sees it. */
 export interface RecordedCall {
   address: string;
   method: string;
@@ -8,16 +8,16 @@
   body: string | undefined;
 }
 
-/** A call in one line: where it goes to, what is asked and the body, if there is one. */
-export function lineOf({ address, method, target, body }: RecordedCall): string {
+/** Formats a request as one line: the address, the method, the target and the body, if it has one. */
+export function formatCall({ address, method, target, body }: RecordedCall): string {
   return [address, method, target, ...(body === undefined ? [] : [body])].join(' ');
 }
 
-/** Records all calls to other hosts. Its answers come at once; an answer that is undefined never comes. */
+/** Records all requests and responds to them at once. A request without a response fails with a timeout error. */
 export class RecordingCaller implements HttpCaller {
   readonly calls: string[] = [];
 
-  constructor(private readonly answer: (call: RecordedCall) => HttpResponse | undefined) {}
+  constructor(private readonly respond: (call: RecordedCall) => HttpResponse | undefined) {}
 
   call(
     address: string,
@@ -27,8 +27,8 @@
     _timeoutMs: number,
   ): Promise<HttpResponse> {
     const call = { address, method, target, body };
-    this.calls.push(lineOf(call));
-    const response = this.answer(call);
+    this.calls.push(formatCall(call));
+    const response = this.respond(call);
     return response ? Promise.resolve(response) : Promise.reject(new CallError('unclear', 'timed out'));
   }
 }
--- a/test/golden/settings.test.ts
+++ b/test/golden/settings.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the settings files, with golden forms of the errors for invalid settings, and of the exit codes. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -11,11 +12,11 @@
 
 const forms = new GoldenForms('settings');
 
-const pathOf = (name: string): string => fileURLToPath(new URL(name, import.meta.url));
-const PLATFORM = pathOf('./forms/platform.toml');
-const OPERATOR = pathOf('./forms/operator.json');
+const resolvePath = (name: string): string => fileURLToPath(new URL(name, import.meta.url));
+const PLATFORM_PATH = resolvePath('./forms/platform.toml');
+const OPERATOR_PATH = resolvePath('./forms/operator.json');
 
-const EXPECTED: Settings = {
+const EXPECTED_SETTINGS: Settings = {
   member: 'hearth-0',
   zone: 'harbour-east',
   publicAddress: '10.0.0.1:8080',
@@ -47,41 +48,57 @@
   operator: { idleKeepS: 12.5, useSpot: false, duties: { enabled: true } },
 };
 
-const DEFAULTS: OperatorSettings = { idleKeepS: 20, useSpot: true, duties: { enabled: false } };
+const DEFAULT_OPERATOR_SETTINGS: OperatorSettings = {
+  idleKeepS: 20,
+  useSpot: true,
+  duties: { enabled: false },
+};
 
-const folder = mkdtempSync(join(tmpdir(), 'golden-settings-'));
-after(() => rmSync(folder, { recursive: true }));
+const temporaryDirectory = mkdtempSync(join(tmpdir(), 'golden-settings-'));
+after(() => rmSync(temporaryDirectory, { recursive: true }));
 
-function write(name: string, text: string): string {
-  writeFileSync(join(folder, name), text);
-  return join(folder, name);
+function writeTemporaryFile(name: string, text: string): string {
+  writeFileSync(join(temporaryDirectory, name), text);
+  return join(temporaryDirectory, name);
 }
 
-const platform = readFileSync(PLATFORM, 'utf8');
+const platformText = readFileSync(PLATFORM_PATH, 'utf8');
 
-/** The file of the platform with one text replaced, which must stand in it. */
-function platformWith(from: string, to: string): string {
-  assert.ok(platform.includes(from), from);
-  return platform.replace(from, to);
+/** Returns the platform's file with one text replaced. The file must contain that text. */
+function replaceInPlatformText(searchText: string, replacement: string): string {
+  assert.ok(platformText.includes(searchText), searchText);
+  return platformText.replace(searchText, replacement);
 }
 
-test('the settings files are read by the names that they have always had', () => {
-  assert.deepEqual(loadSettings(PLATFORM, OPERATOR), EXPECTED);
+test('the settings files are read by their external names', () => {
+  assert.deepEqual(loadSettings(PLATFORM_PATH, OPERATOR_PATH), EXPECTED_SETTINGS);
 });
 
-test('what the files leave out has its default', () => {
-  assert.deepEqual(loadSettings(PLATFORM), { ...EXPECTED, operator: DEFAULTS });
-  assert.deepEqual(loadSettings(PLATFORM, write('none.json', '{}')).operator, DEFAULTS);
-  const partial = write('partial.json', '{"duties":{},"useSpot":false}');
-  assert.deepEqual(loadSettings(PLATFORM, partial).operator, { ...DEFAULTS, useSpot: false });
-  const least = write('least.toml', platformWith('mem_mb = 146.0\n', ''));
-  assert.equal(loadSettings(least).memoryBytes, 108 * 1024 * 1024);
-  const alone = write(
-    'alone.toml',
-    platform.replaceAll(/\[\[(seeds|deployment\.(teams|objectives))\]\]\n(.+\n)+/g, ''),
+test('omitted settings have default values', () => {
+  assert.deepEqual(loadSettings(PLATFORM_PATH), {
+    ...EXPECTED_SETTINGS,
+    operator: DEFAULT_OPERATOR_SETTINGS,
+  });
+  assert.deepEqual(
+    loadSettings(PLATFORM_PATH, writeTemporaryFile('empty.json', '{}')).operator,
+    DEFAULT_OPERATOR_SETTINGS,
+  );
+  const partialPath = writeTemporaryFile('partial.json', '{"duties":{},"useSpot":false}');
+  assert.deepEqual(loadSettings(PLATFORM_PATH, partialPath).operator, {
+    ...DEFAULT_OPERATOR_SETTINGS,
+    useSpot: false,
+  });
+  const pathWithoutMemory = writeTemporaryFile(
+    'without-memory.toml',
+    replaceInPlatformText('mem_mb = 146.0\n', ''),
   );
-  assert.deepEqual(loadSettings(alone, OPERATOR), {
-    ...EXPECTED,
+  assert.equal(loadSettings(pathWithoutMemory).memoryBytes, 108 * 1024 * 1024);
+  const pathWithoutLists = writeTemporaryFile(
+    'without-lists.toml',
+    platformText.replaceAll(/\[\[(seeds|deployment\.(teams|objectives))\]\]\n(.+\n)+/g, ''),
+  );
+  assert.deepEqual(loadSettings(pathWithoutLists, OPERATOR_PATH), {
+    ...EXPECTED_SETTINGS,
     peers: [],
     teams: [],
     objectives: [],
@@ -89,8 +106,8 @@
   });
 });
 
-/** Texts of the platform's file that are replaced by wrong ones. */
-const MISTAKES: Record<string, [from: string, to: string]> = {
+/** Replacements in the platform's file, each of which makes it invalid. */
+const PLATFORM_MISTAKES: Record<string, [searchText: string, replacement: string]> = {
   'no public address': ['public_addr = "10.0.0.1:8080"\n', ''],
   'an address by name': ['"10.0.0.1:8081"\nlater', '"hearth:8081"\nlater'],
   'an empty name': ['domain = "harbour-east"\npublic', 'domain = ""\npublic'],
@@ -109,7 +126,7 @@
   'no quota': ['[deployment.quota]', '[deployment.other]'],
 };
 
-/** Operators' files that are wrong. */
+/** Invalid contents of the operator's file. */
 const OPERATOR_MISTAKES: Record<string, string> = {
   'an unknown setting': '{"idleKeep":1}',
   'an unknown setting of the duties': '{"duties":{"on":true}}',
@@ -118,52 +135,64 @@
   'a list': '[]',
 };
 
-/** What the operator is told, without the folder of the file. */
-function messageOf(platformPath: string, operatorPath?: string): string {
+/** Loads invalid settings and returns the error message without the directory of the file. */
+function getSettingsErrorMessage(platformPath: string, operatorPath?: string): string {
   try {
     loadSettings(platformPath, operatorPath);
   } catch (error) {
     assert.ok(error instanceof SettingsError, String(error));
-    return error.message.replaceAll(`${folder}/`, '');
+    return error.message.replaceAll(`${temporaryDirectory}/`, '');
   }
-  return assert.fail('wrong settings are taken');
+  return assert.fail('invalid settings were accepted');
 }
 
-for (const [name, [from, to]] of Object.entries(MISTAKES))
-  test(`wrong settings: ${name}`, () =>
-    forms.check(name, messageOf(write('platform.toml', platformWith(from, to)))));
+for (const [name, [searchText, replacement]] of Object.entries(PLATFORM_MISTAKES))
+  test(`invalid platform settings: ${name}`, () =>
+    forms.check(
+      name,
+      getSettingsErrorMessage(
+        writeTemporaryFile('platform.toml', replaceInPlatformText(searchText, replacement)),
+      ),
+    ));
 
 for (const [name, text] of Object.entries(OPERATOR_MISTAKES))
-  test(`wrong operators' settings: ${name}`, () =>
-    forms.check(`operators: ${name}`, messageOf(PLATFORM, write('operator.json', text))));
-
-/** Settings that can't be held, and the names by which operators are warned of them. */
-const WEAK: [change: Partial<Settings>, settings: string[]][] = [
+  test(`invalid operator settings: ${name}`, () =>
+    forms.check(
+      `operators: ${name}`,
+      getSettingsErrorMessage(PLATFORM_PATH, writeTemporaryFile('operator.json', text)),
+    ));
+
+/** Valid settings with which the service can't meet its guarantees, and the setting that each warning names. */
+const WEAK_SETTINGS: [overrides: Partial<Settings>, settingNames: string[]][] = [
   [{}, []],
-  [{ state: { ...EXPECTED.state, rps: 1 } }, ['state.rps']],
-  [{ state: { ...EXPECTED.state, writesPerS: 1 } }, ['state.write_rps']],
-  [{ state: { ...EXPECTED.state, valueBytes: 512 } }, ['state.value_kb']],
-  [{ state: { ...EXPECTED.state, txnOps: 3 } }, ['state.txn_ops']],
-  [{ cloud: { ...EXPECTED.cloud, rps: 0.5 } }, ['cloud.rps']],
-  [{ sockets: { ...EXPECTED.sockets, forClients: 9 } }, ['quota.max_connections (for clients)']],
+  [{ state: { ...EXPECTED_SETTINGS.state, rps: 1 } }, ['state.rps']],
+  [{ state: { ...EXPECTED_SETTINGS.state, writesPerS: 1 } }, ['state.write_rps']],
+  [{ state: { ...EXPECTED_SETTINGS.state, valueBytes: 512 } }, ['state.value_kb']],
+  [{ state: { ...EXPECTED_SETTINGS.state, txnOps: 3 } }, ['state.txn_ops']],
+  [{ cloud: { ...EXPECTED_SETTINGS.cloud, rps: 0.5 } }, ['cloud.rps']],
+  [{ sockets: { ...EXPECTED_SETTINGS.sockets, forClients: 9 } }, ['quota.max_connections (for clients)']],
   [{ memoryBytes: 64 * 1024 * 1024 }, ['quota.mem_mb']],
   [{ leaseS: 5 }, ['workers.lease_s']],
   [{ cancelS: 15 }, ['workers.cancel_s']],
 ];
 
-test('operators are warned of weak settings by the names in the file', () => {
-  for (const [change, settings] of WEAK) {
-    const warnings = settingsWarnings({ ...EXPECTED, ...change });
+test('warnings about weak settings use the names of the settings file', () => {
+  for (const [overrides, settingNames] of WEAK_SETTINGS) {
+    const warnings = settingsWarnings({ ...EXPECTED_SETTINGS, ...overrides });
     assert.deepEqual(
       warnings.map((warning) => warning.split(' is ')[0]),
-      settings,
+      settingNames,
     );
   }
 });
 
-/** Runs the program from its sources. */
-function runProgram(...args: string[]): { status: number | null; stdout: string; lines: string[] } {
-  const command = ['--import', 'tsx', pathOf('../../src/main.ts'), ...args];
+/** Runs the program from its source files. */
+function runProgram(...programArguments: string[]): {
+  status: number | null;
+  stdout: string;
+  lines: string[];
+} {
+  const command = ['--import', 'tsx', resolvePath('../../src/main.ts'), ...programArguments];
   const { status, stdout, stderr } = spawnSync(process.execPath, command, {
     encoding: 'utf8',
     timeout: 60_000,
@@ -171,12 +200,12 @@
   return { status, stdout, lines: stderr.trimEnd().split('\n') };
 }
 
-test("exit code 2: operators' settings that are missing or broken", () => {
+test('exit code 2: the operator settings file is missing or malformed', () => {
   for (const [path, message] of [
-    [join(folder, 'lacking.json'), /lacking\.json: ENOENT$/],
-    [write('broken.json', '{'), /broken\.json: /],
+    [join(temporaryDirectory, 'missing.json'), /missing\.json: ENOENT$/],
+    [writeTemporaryFile('broken.json', '{'), /broken\.json: /],
   ] as const) {
-    const { status, lines } = runProgram('--config', PLATFORM, '--operator', path);
+    const { status, lines } = runProgram('--config', PLATFORM_PATH, '--operator', path);
     assert.equal(status, 2);
     assert.equal(lines.length, 1, lines.join('\n'));
     assert.match(lines[0]!, /^pumicehinge-controller: /);
@@ -184,14 +213,17 @@
   }
 });
 
-test('exit code 3: an address that is not ours', () => {
-  const local = platformWith('"10.0.0.1:8080"', '"127.0.0.1:0"').replace(
+test('exit code 3: a listen address that does not belong to the host', () => {
+  const loopbackText = replaceInPlatformText('"10.0.0.1:8080"', '"127.0.0.1:0"').replace(
     '"10.0.0.1:8081"\nlater',
     '"127.0.0.1:0"\nlater',
   );
-  for (const own of ['public_addr', 'cluster_listen']) {
-    const text = local.replace(`${own} = "127.0.0.1:0"`, `${own} = "192.0.2.1:8080"`);
-    const { status, lines } = runProgram('--config', write('elsewhere.toml', text));
+  for (const addressSetting of ['public_addr', 'cluster_listen']) {
+    const text = loopbackText.replace(
+      `${addressSetting} = "127.0.0.1:0"`,
+      `${addressSetting} = "192.0.2.1:8080"`,
+    );
+    const { status, lines } = runProgram('--config', writeTemporaryFile('foreign-address.toml', text));
     assert.equal(status, 3, lines.join('\n'));
     const { level, member, err } = JSON.parse(lines.at(-1)!) as {
       level: number;
@@ -202,10 +234,12 @@
   }
 });
 
-test('exit code 0: the version', () => {
+test('exit code 0: the version is printed', () => {
   const { status, stdout } = runProgram('--version');
-  const { version } = JSON.parse(readFileSync(pathOf('../../package.json'), 'utf8')) as { version: string };
+  const { version } = JSON.parse(readFileSync(resolvePath('../../package.json'), 'utf8')) as {
+    version: string;
+  };
   assert.deepEqual([status, stdout], [0, `${version}\n`]);
 });
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/state-calls.test.ts
+++ b/test/golden/state-calls.test.ts
@@ -1,3 +1,4 @@
+/** Golden forms of the requests to the state store, and the decoding of its responses. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
@@ -8,86 +9,95 @@
 
 const forms = new GoldenForms('state-calls');
 
-const LARGE = 2n ** 63n + 1n;
-const LIMITS = { rps: 1_000, writesPerS: 1_000, txnOps: 12 };
+const LARGE_INTEGER = 2n ** 63n + 1n;
+const STORE_LIMITS = { rps: 1_000, writesPerS: 1_000, txnOps: 12 };
 
-/** ms: after which the client may use its full rates. */
-const BUDGET_FILLED_MS = 1_000;
+/** Time after which the client's rate limiters hold their full budgets. */
+const RATE_BUDGET_FILL_MS = 1_000;
 
-/** A client of a state service that answers each call alike. */
-async function clientFor(answer: HttpResponse | undefined) {
-  const caller = new RecordingCaller(() => answer);
+/** Creates a client of a state store that gives the same response to each request. */
+async function createClient(response: HttpResponse | undefined) {
+  const caller = new RecordingCaller(() => response);
   const clock = new SimulatedClock();
   const client = new StoreClient({
     caller,
     address: 'state:1',
     clock,
-    limits: LIMITS,
+    limits: STORE_LIMITS,
     controllerCount: 3,
   });
-  await clock.runUntil(BUDGET_FILLED_MS);
+  await clock.runUntil(RATE_BUDGET_FILL_MS);
   return { caller, client };
 }
 
-const ok = (body: string): HttpResponse => ({ status: 200, body });
+const createOkResponse = (body: string): HttpResponse => ({ status: 200, body });
 
-/** Each call to the state service: what it answers, and what is read of that. */
-const CALLS: [
+/** Each call of the client: the response of the state store, and the expected result. */
+const CALL_CASES: [
   name: string,
-  answer: HttpResponse,
-  call: (c: StoreClient) => Promise<unknown>,
-  read: unknown,
+  response: HttpResponse,
+  invoke: (client: StoreClient) => Promise<unknown>,
+  expected: unknown,
 ][] = [
   [
     'first page',
-    ok('{"rows":[{"key":"ph/leader","v":{"a":1},"stamp":4,"hold":2}],"more":true,"epoch":9}'),
-    (c) => c.listPage('ph/', undefined, 500),
+    createOkResponse('{"rows":[{"key":"ph/leader","v":{"a":1},"stamp":4,"hold":2}],"more":true,"epoch":9}'),
+    (client) => client.listPage('ph/', undefined, 500),
     { keyValues: [{ key: 'ph/leader', value: { a: 1 }, modRevision: 4 }], more: true, revision: 9 },
   ],
   [
     'next page',
-    ok(`{"rows":[],"epoch":${LARGE}}`),
-    (c) => c.listPage('ph/', 'ph/leader', 500),
-    { keyValues: [], more: false, revision: LARGE },
+    createOkResponse(`{"rows":[],"epoch":${LARGE_INTEGER}}`),
+    (client) => client.listPage('ph/', 'ph/leader', 500),
+    { keyValues: [], more: false, revision: LARGE_INTEGER },
   ],
   [
     'watch',
-    ok(
-      `{"epoch":7,"log":[{"put":"a","v":[1],"stamp":6},{"drop":"b","stamp":7},{"put":"c","stamp":${LARGE}}]}`,
+    createOkResponse(
+      `{"epoch":7,"log":[{"put":"a","v":[1],"stamp":6},{"drop":"b","stamp":7},{"put":"c","stamp":${LARGE_INTEGER}}]}`,
     ),
-    (c) => c.watch('ph/', 5, 2_500),
+    (client) => client.watch('ph/', 5, 2_500),
     {
       revision: 7,
       changes: [
         { key: 'a', value: [1], modRevision: 6 },
         { key: 'b', value: undefined, modRevision: 7 },
-        { key: 'c', value: undefined, modRevision: LARGE },
+        { key: 'c', value: undefined, modRevision: LARGE_INTEGER },
       ],
     },
   ],
-  ['read', ok('{"epoch":7,"log":[]}'), (c) => c.watch('ph/', LARGE, 0), { revision: 7, changes: [] }],
-  ['grant of a lease', ok('{"hold":77}'), (c) => c.grantLease(3_000), 77],
-  ['renewal of a lease', ok('{}'), (c) => c.keepAlive(77, 1_500), true],
-  ['renewal of a lease that has ended', { status: 404, body: '{}' }, (c) => c.keepAlive(LARGE, 1_500), false],
-  ['end of a lease', ok('{}'), (c) => c.revokeLease(77), undefined],
+  [
+    'read',
+    createOkResponse('{"epoch":7,"log":[]}'),
+    (client) => client.watch('ph/', LARGE_INTEGER, 0),
+    { revision: 7, changes: [] },
+  ],
+  ['grant of a lease', createOkResponse('{"hold":77}'), (client) => client.grantLease(3_000), 77],
+  ['renewal of a lease', createOkResponse('{}'), (client) => client.keepAlive(77, 1_500), true],
+  [
+    'renewal of a lease that has ended',
+    { status: 404, body: '{}' },
+    (client) => client.keepAlive(LARGE_INTEGER, 1_500),
+    false,
+  ],
+  ['end of a lease', createOkResponse('{}'), (client) => client.revokeLease(77), undefined],
 ];
 
-for (const [name, answer, call, read] of CALLS)
+for (const [name, response, invoke, expected] of CALL_CASES)
   test(`call: ${name}`, async () => {
-    const { caller, client } = await clientFor(answer);
-    assert.deepEqual(await call(client), read);
+    const { caller, client } = await createClient(response);
+    assert.deepEqual(await invoke(client), expected);
     assert.equal(caller.calls.length, 1);
     forms.check(name, caller.calls[0]!);
   });
 
-/** Transactions. */
-const WRITES: [name: string, conditions: Condition[], operations: Operation[]][] = [
+const TRANSACTION_CASES: [name: string, conditions: Condition[], operations: Operation[]][] = [
   ['nothing', [], []],
   ['a new key', [{ key: 'ph/term', modRevision: 0 }], [{ key: 'ph/term', value: { term: 1 } }]],
   [
     'a key on a lease, and a delete',
     [
-      { key: 'ph/leader', modRevision: LARGE },
+      { key: 'ph/leader', modRevision: LARGE_INTEGER },
       { key: 'ph/k/c0/1-1', modRevision: 5 },
     ],
     [
@@ -95,12 +105,12 @@
       { key: 'ph/k/c0/1-1', value: undefined },
     ],
   ],
-  ['a text, with a large lease', [], [{ key: 'ph/d/job-1/1', value: 'Bw==', leaseId: LARGE }]],
+  ['a text, with a large lease', [], [{ key: 'ph/d/job-1/1', value: 'Bw==', leaseId: LARGE_INTEGER }]],
 ];
 
-for (const [name, conditions, operations] of WRITES)
+for (const [name, conditions, operations] of TRANSACTION_CASES)
   test(`transaction: ${name}`, async () => {
-    const { caller, client } = await clientFor(ok('{"epoch":9}'));
+    const { caller, client } = await createClient(createOkResponse('{"epoch":9}'));
     assert.deepEqual(await client.compareAndSwap(conditions, operations), {
       outcome: 'applied',
       revision: 9,
@@ -108,8 +118,8 @@
     forms.check(`transaction: ${name}`, caller.calls[0]!);
   });
 
-test('what the answers to a transaction mean', async () => {
-  const cases: [answer: HttpResponse | undefined, result: unknown][] = [
+test('each response to a transaction is mapped to its result', async () => {
+  const cases: [response: HttpResponse | undefined, result: unknown][] = [
     [
       { status: 409, body: '{"failed":["ph/leader"],"epoch":9}' },
       { outcome: 'conflict', failedKeys: ['ph/leader'], revision: 9 },
@@ -132,28 +142,28 @@
     ],
     [undefined, { outcome: 'unclear' }],
   ];
-  for (const [answer, result] of cases) {
-    const { client } = await clientFor(answer);
-    assert.deepEqual(await client.compareAndSwap([], []), result, JSON.stringify(answer));
+  for (const [response, result] of cases) {
+    const { client } = await createClient(response);
+    assert.deepEqual(await client.compareAndSwap([], []), result, JSON.stringify(response));
   }
 });
 
-test('what is not served, or makes no sense, is told with its status', async () => {
-  const cases: [answer: HttpResponse, status: number][] = [
+test('a rejected request or a malformed response throws a StoreError with its status', async () => {
+  const cases: [response: HttpResponse, status: number][] = [
     [{ status: 410, body: '{}' }, 410],
     [{ status: 503, body: '{}' }, 503],
-    [ok('{"log":[]}'), 0],
-    [ok('{"epoch":-1}'), 0],
-    [ok('nonsense'), 0],
+    [createOkResponse('{"log":[]}'), 0],
+    [createOkResponse('{"epoch":-1}'), 0],
+    [createOkResponse('nonsense'), 0],
   ];
-  for (const [answer, status] of cases) {
-    const { client } = await clientFor(answer);
+  for (const [response, status] of cases) {
+    const { client } = await createClient(response);
     await assert.rejects(
       client.watch('ph/', 1, 0),
       (error: unknown) => error instanceof StoreError && error.status === status,
-      JSON.stringify(answer),
+      JSON.stringify(response),
     );
   }
 });
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/stored-cluster.test.ts
+++ b/test/golden/stored-cluster.test.ts
@@ -1,3 +1,4 @@
+/** Golden forms of stored leaders, node groups, delegated leases, instance types and spot interruption rates. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -20,7 +21,7 @@
   type LeaderRecord,
 } from '../../src/state/records.js';
 import { formatJson, parseJson } from '../../src/wire/json.js';
-import { GoldenForms, testForms } from './golden-forms.js';
+import { GoldenForms, testRoundTrips } from './golden-forms.js';
 
 const forms = new GoldenForms('stored-cluster');
 
@@ -29,12 +30,12 @@
   'leaves work to the holders of duties': { member: 'hearth-0', term: 1, delegates: true },
 };
 
-testForms(forms, 'leader', LEADERS, {
+testRoundTrips(forms, 'leader', LEADERS, {
   encode: (leader) => formatJson(encodeLeader(leader)),
   decode: (text) => decodeLeader(parseJson(text)),
 });
 
-const GROUPS: Record<string, NodeGroupRecord> = {
+const NODE_GROUPS: Record<string, NodeGroupRecord> = {
   'spot, one reports and one boots': {
     type: 'kufel-node',
     zone: 'warszawa-a',
@@ -48,33 +49,33 @@
   'without machines': { type: 'g8', zone: 'a', spot: false, nodeAddresses: new Map() },
 };
 
-testForms(forms, 'machine group', GROUPS, {
+testRoundTrips(forms, 'machine group', NODE_GROUPS, {
   encode: (group) => formatJson(encodeNodeGroup(group)),
   decode: (text) => decodeNodeGroup(parseJson(text)),
 });
 
-test('whether a group holds a machine is read from its value', () => {
-  const value = parseJson(forms.text('machine group: spot, one reports and one boots'));
-  for (const [name, isHeld] of [
+test('whether a node belongs to a group is read from the stored group', () => {
+  const value = parseJson(forms.getText('machine group: spot, one reports and one boots'));
+  for (const [name, isContained] of [
     ['vm-000039', true],
     ['vm-000040', true],
     ['vm-000041', false],
     ['toString', false],
   ] as const)
-    assert.equal(nodeGroupContains(value, name), isHeld, name);
+    assert.equal(nodeGroupContains(value, name), isContained, name);
 });
 
-const DELEGATED: Record<string, DelegatedLeasesRecord> = {
+const DELEGATED_LEASES: Record<string, DelegatedLeasesRecord> = {
   'two machines': { term: 12, nodes: ['vm-000039', 'vm-000040'] },
   'no machine': { term: 1, nodes: [] },
 };
 
-testForms(forms, 'delegated leases', DELEGATED, {
-  encode: (kept) => formatJson(encodeDelegatedLeases(kept)),
+testRoundTrips(forms, 'delegated leases', DELEGATED_LEASES, {
+  encode: (leases) => formatJson(encodeDelegatedLeases(leases)),
   decode: (text) => decodeDelegatedLeases(parseJson(text)),
 });
 
-const TYPES: InstanceType[] = [
+const INSTANCE_TYPES: InstanceType[] = [
   {
     name: 'kufel-node',
     cpus: 8,
@@ -101,66 +102,70 @@
   },
 ];
 
-test('catalog: what a leader writes of the machine types is read by the next', () => {
-  const written: Operation[] = [];
+test('catalog: the instance types that a leader stores are read by the next leader', () => {
+  const writtenOperations: Operation[] = [];
   const replica = { get: () => undefined } as unknown as StateReplica;
   const commit = (_conditions: unknown, operations: Operation[]) => {
-    written.push(...operations);
+    writtenOperations.push(...operations);
     return Promise.resolve({ outcome: 'conflict' as const });
   };
   const log = pino({ level: 'silent' });
-  new InstanceCatalog({ replica, commit, log }).update(TYPES);
-  assert.equal(written.length, 1);
-  forms.check('catalog: key', written[0]!.key);
-  forms.check('catalog: value', formatJson(written[0]!.value));
-  const value = parseJson(forms.text('catalog: value'));
-  assert.deepEqual(decodeInstanceTypes(value), TYPES);
-  const row = { key: forms.text('catalog: key'), value, stamp: 1 };
-  const next = new InstanceCatalog({ replica: { get: () => row } as unknown as StateReplica, commit, log });
-  assert.deepEqual([...next.types.values()], TYPES);
+  new InstanceCatalog({ replica, commit, log }).update(INSTANCE_TYPES);
+  assert.equal(writtenOperations.length, 1);
+  forms.check('catalog: key', writtenOperations[0]!.key);
+  forms.check('catalog: value', formatJson(writtenOperations[0]!.value));
+  const value = parseJson(forms.getText('catalog: value'));
+  assert.deepEqual(decodeInstanceTypes(value), INSTANCE_TYPES);
+  const storedRow = { key: forms.getText('catalog: key'), value, stamp: 1 };
+  const nextCatalog = new InstanceCatalog({
+    replica: { get: () => storedRow } as unknown as StateReplica,
+    commit,
+    log,
+  });
+  assert.deepEqual([...nextCatalog.types.values()], INSTANCE_TYPES);
 });
 
-test('losses of spot machines: what a leader writes is read by the next', () => {
-  const losses = new SpotInterruptionRate(undefined, 0);
-  forms.check('losses: none', formatJson(losses.toRecord()));
-  losses.recordUsage(3, 5_400_000);
-  losses.recordInterruption(5_400_000);
-  losses.recordInterruption(5_400_500);
-  forms.check('losses: two', formatJson(losses.toRecord()));
-  losses.recordUsage(1, 5_401_000);
-  forms.check('losses: hours are rounded', formatJson(losses.toRecord()));
-  for (const form of ['losses: none', 'losses: two', 'losses: hours are rounded']) {
-    const next = new SpotInterruptionRate(parseJson(forms.text(form)), 0);
-    assert.equal(formatJson(next.toRecord()), forms.text(form));
+test('spot interruption rate: the record that a leader stores is read by the next leader', () => {
+  const interruptionRate = new SpotInterruptionRate(undefined, 0);
+  forms.check('losses: none', formatJson(interruptionRate.toRecord()));
+  interruptionRate.recordUsage(3, 5_400_000);
+  interruptionRate.recordInterruption(5_400_000);
+  interruptionRate.recordInterruption(5_400_500);
+  forms.check('losses: two', formatJson(interruptionRate.toRecord()));
+  interruptionRate.recordUsage(1, 5_401_000);
+  forms.check('losses: hours are rounded', formatJson(interruptionRate.toRecord()));
+  for (const formName of ['losses: none', 'losses: two', 'losses: hours are rounded']) {
+    const nextRate = new SpotInterruptionRate(parseJson(forms.getText(formName)), 0);
+    assert.equal(formatJson(nextRate.toRecord()), forms.getText(formName));
   }
-  const read = new SpotInterruptionRate(parseJson(forms.text('losses: two')), 0);
-  assert.equal(read.perHour(), new SpotInterruptionRate({ lost: 2, hours: 4.5 }, 7).perHour());
+  const decodedRate = new SpotInterruptionRate(parseJson(forms.getText('losses: two')), 0);
+  assert.equal(decodedRate.perHour(), new SpotInterruptionRate({ lost: 2, hours: 4.5 }, 7).perHour());
 });
 
-/** How values are read that lack fields, or have others. */
-const OTHERS: [name: string, read: unknown, expected: unknown][] = [
+/** Decoding of values that are malformed, that lack fields or that have fields of another version. */
+const DECODING_CASES: [name: string, decoded: unknown, expected: unknown][] = [
   [
-    'leader: a former version',
+    'leader: written by a former version',
     decodeLeader({ member: 'a', term: 3 }),
     { ...LEADERS['does all itself'], member: 'a', term: 3 },
   ],
-  ['leader: later field', decodeLeader({ member: 'a', term: 3, later: 1 })?.delegates, false],
-  ['leader: odd mark', decodeLeader({ member: 'a', term: 3, delegates: 1 })?.delegates, false],
-  ['leader: no member', decodeLeader({ term: 3 }), undefined],
-  ['leader: none', decodeLeader(undefined), undefined],
-  ['group: no machines', decodeNodeGroup({ t: 'a', z: 'b', s: 1 }), undefined],
-  ['group: none', decodeNodeGroup([]), undefined],
-  ['group: odd mark', decodeNodeGroup({ t: 'a', z: 'b', s: true, m: {} })?.spot, false],
-  ['leases: no machines', decodeDelegatedLeases({ t: 1 }), undefined],
-  ['leases: none', decodeDelegatedLeases('x'), undefined],
+  ['leader: unknown field', decodeLeader({ member: 'a', term: 3, later: 1 })?.delegates, false],
+  ['leader: flag of another type', decodeLeader({ member: 'a', term: 3, delegates: 1 })?.delegates, false],
+  ['leader: without member', decodeLeader({ term: 3 }), undefined],
+  ['leader: no value', decodeLeader(undefined), undefined],
+  ['node group: without nodes', decodeNodeGroup({ t: 'a', z: 'b', s: 1 }), undefined],
+  ['node group: not an object', decodeNodeGroup([]), undefined],
+  ['node group: flag of another type', decodeNodeGroup({ t: 'a', z: 'b', s: true, m: {} })?.spot, false],
+  ['delegated leases: without nodes', decodeDelegatedLeases({ t: 1 }), undefined],
+  ['delegated leases: not an object', decodeDelegatedLeases('x'), undefined],
   [
-    'leases: numbers',
+    'delegated leases: numbers and texts are converted',
     formatJson(encodeDelegatedLeases(decodeDelegatedLeases({ t: '4', m: [1, 'b'] })!)),
     '{"t":4,"m":["1","b"]}',
   ],
 ];
 
-for (const [name, read, expected] of OTHERS)
-  test(`other forms, ${name}`, () => assert.deepEqual(read, expected));
+for (const [name, decoded, expected] of DECODING_CASES)
+  test(`decoding of other values, ${name}`, () => assert.deepEqual(decoded, expected));
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/stored-jobs.test.ts
+++ b/test/golden/stored-jobs.test.ts
@@ -1,3 +1,4 @@
+/** Golden forms of stored jobs, their completed tasks and their dependency lists. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { COMPLETION_SEGMENT_TASKS } from '../../src/constants.js';
@@ -17,11 +18,11 @@
 import { CompletionBitmap } from '../../src/state/completion-bitmap.js';
 import { formatJson, parseJson } from '../../src/wire/json.js';
 import { jobSpec } from '../fixtures.js';
-import { GoldenForms, testForms } from './golden-forms.js';
+import { GoldenForms, testRoundTrips } from './golden-forms.js';
 
 const forms = new GoldenForms('stored-jobs');
 
-const OPEN: JobRecord = {
+const OPEN_JOB: JobRecord = {
   phase: 'open',
   tasks: 4,
   spec: jobSpec(),
@@ -31,8 +32,8 @@
   completed: '',
 };
 
-/** What is left of a job that is over. */
-const OVER: JobRecord = { ...OPEN, spec: undefined };
+/** A job whose description was removed after it ended. */
+const JOB_WITHOUT_SPEC: JobRecord = { ...OPEN_JOB, spec: undefined };
 
 const FULL_SPEC = jobSpec({
   uid: 'job-312747',
@@ -58,85 +59,98 @@
 });
 
 const JOBS: Record<string, JobRecord> = {
-  'open array': OPEN,
-  'open service with every field': { ...OPEN, tasks: 3, spec: FULL_SPEC, memberStates: 'NN' },
-  'preferred member runs': { ...OPEN, memberStates: 'EN' },
-  'preferred member failed': { ...OPEN, memberStates: 'FE' },
-  'successor runs': { ...OPEN, memberStates: 'E', successor: true },
-  'some tasks finished': { ...OPEN, memberStates: 'E', completed: 'Bw==' },
-  'one dependency': { ...OPEN, spec: jobSpec({ dependencies: ['job-000007'] }) },
-  'two dependencies': { ...OPEN, spec: jobSpec({ dependencies: ['job-000008', 'job-000007'] }) },
+  'open array': OPEN_JOB,
+  'open service with every field': { ...OPEN_JOB, tasks: 3, spec: FULL_SPEC, memberStates: 'NN' },
+  'preferred member runs': { ...OPEN_JOB, memberStates: 'EN' },
+  'preferred member failed': { ...OPEN_JOB, memberStates: 'FE' },
+  'successor runs': { ...OPEN_JOB, memberStates: 'E', successor: true },
+  'some tasks finished': { ...OPEN_JOB, memberStates: 'E', completed: 'Bw==' },
+  'one dependency': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000007'] }) },
+  'two dependencies': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000008', 'job-000007'] }) },
   'dependencies in keys of their own': {
-    ...OPEN,
+    ...OPEN_JOB,
     spec: jobSpec({ dependencyList: { id: '1z4k9', parts: 3 } }),
   },
-  done: { ...OVER, phase: 'done', memberStates: 'S', finishedMs: 1_790_000_102_623 },
-  'done, as a former version wrote it': { ...OVER, phase: 'done', memberStates: 'SN' },
+  done: { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'S', finishedMs: 1_790_000_102_623 },
+  'done, as a former version wrote it': { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'SN' },
   'done, description still there': {
-    ...OPEN,
+    ...OPEN_JOB,
     phase: 'done',
     memberStates: 'S',
     completed: 'Dw==',
     finishedMs: 1_790_000_102_623,
   },
-  cancelled: { ...OVER, phase: 'cancelled', memberStates: 'F' },
-  'cancelled, description still there': { ...OPEN, phase: 'cancelled', memberStates: 'E', completed: 'AQ==' },
-  ...Object.fromEntries(RANKS.map((rank) => [`rank ${rank}`, { ...OPEN, spec: jobSpec({ rank }) }])),
+  cancelled: { ...JOB_WITHOUT_SPEC, phase: 'cancelled', memberStates: 'F' },
+  'cancelled, description still there': {
+    ...OPEN_JOB,
+    phase: 'cancelled',
+    memberStates: 'E',
+    completed: 'AQ==',
+  },
+  ...Object.fromEntries(RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }])),
 };
 
-const encode = (record: JobRecord): string => formatJson(encodeJob(record));
+const encodeRecord = (record: JobRecord): string => formatJson(encodeJob(record));
 
-testForms(forms, 'job', JOBS, { encode, decode: (text) => decodeJob(parseJson(text)) });
+testRoundTrips(forms, 'job', JOBS, { encode: encodeRecord, decode: (text) => decodeJob(parseJson(text)) });
 
-type Fields = Record<string, unknown>;
+type StoredFields = Record<string, unknown>;
 
-test('fields that a later version adds to a description are written again', () => {
-  const value = parseJson(forms.text('job: open service with every field')) as Fields;
-  const later = { ...value, later: 1, s: { ...(value.s as Fields), later: ['x'], other: null } };
-  const read = decodeJob(later);
-  assert.ok(read?.spec);
-  forms.check('job with later fields', encode(read));
-  forms.check('job with later fields, cancelled', encode({ ...read, phase: 'cancelled' }));
-  assert.equal(read.spec.team, FULL_SPEC.team);
+test('fields that a later version adds to a description are preserved', () => {
+  const value = parseJson(forms.getText('job: open service with every field')) as StoredFields;
+  const valueWithLaterFields = {
+    ...value,
+    later: 1,
+    s: { ...(value.s as StoredFields), later: ['x'], other: null },
+  };
+  const decoded = decodeJob(valueWithLaterFields);
+  assert.ok(decoded?.spec);
+  forms.check('job with later fields', encodeRecord(decoded));
+  forms.check('job with later fields, cancelled', encodeRecord({ ...decoded, phase: 'cancelled' }));
+  assert.equal(decoded.spec.team, FULL_SPEC.team);
 });
 
-test('a value that lacks a field, or has one of another type, is no job', () => {
-  const value = parseJson(forms.text('job: open service with every field')) as Fields;
-  const spec = value.s as Fields;
+test('a value with a required field that is missing or of another type is not decoded', () => {
+  const value = parseJson(forms.getText('job: open service with every field')) as StoredFields;
+  const spec = value.s as StoredFields;
   for (const field of ['p', 'n', 't', 'x', 's']) {
-    const { [field]: _left, ...lacking } = value;
-    assert.equal(decodeJob(lacking), undefined, `without ${field}`);
-    assert.equal(decodeJob({ ...value, [field]: [] }), undefined, `wrong ${field}`);
+    const { [field]: _removed, ...incomplete } = value;
+    assert.equal(decodeJob(incomplete), undefined, `without ${field}`);
+    assert.equal(decodeJob({ ...value, [field]: [] }), undefined, `${field} of another type`);
   }
   for (const field of Object.keys(spec)) {
-    const { [field]: _left, ...lacking } = spec;
-    assert.equal(decodeJob({ ...value, s: lacking }), undefined, `description without ${field}`);
-    assert.equal(decodeJob({ ...value, s: { ...spec, [field]: { a: 1 } } }), undefined, `wrong ${field}`);
+    const { [field]: _removed, ...incomplete } = spec;
+    assert.equal(decodeJob({ ...value, s: incomplete }), undefined, `description without ${field}`);
+    assert.equal(
+      decodeJob({ ...value, s: { ...spec, [field]: { a: 1 } } }),
+      undefined,
+      `${field} of another type`,
+    );
   }
 });
 
-test('a job without its optional fields is read with what they stand for', () => {
-  const value = parseJson(forms.text('job: some tasks finished')) as Fields;
-  const { u: _successor, d: _done, ...lacking } = value;
-  assert.deepEqual(decodeJob(lacking), { ...OPEN, memberStates: 'E' });
+test('omitted optional fields of a job are decoded as their defaults', () => {
+  const value = parseJson(forms.getText('job: some tasks finished')) as StoredFields;
+  const { u: _successor, d: _done, ...incomplete } = value;
+  assert.deepEqual(decodeJob(incomplete), { ...OPEN_JOB, memberStates: 'E' });
 });
 
-test('whether a job is cancelled, and what its pipeline sees, is read from its value', () => {
+test('the phase and the dependencies of a job are read from its stored value', () => {
   for (const [name, record] of Object.entries(JOBS)) {
-    const value = parseJson(forms.text(`job: ${name}`));
+    const value = parseJson(forms.getText(`job: ${name}`));
     assert.equal(isCancelledJob(value), record.phase === 'cancelled', name);
-    const lists = record.spec?.dependencyList ? undefined : (record.spec?.dependencies ?? []);
-    const member = decodeJobDependencies(value, () => undefined);
-    assert.deepEqual(member, { phase: record.phase, dependencies: lists }, name);
+    const expectedDependencies = record.spec?.dependencyList ? undefined : (record.spec?.dependencies ?? []);
+    const decoded = decodeJobDependencies(value, () => undefined);
+    assert.deepEqual(decoded, { phase: record.phase, dependencies: expectedDependencies }, name);
   }
 });
 
-test('the bytes that a job takes at most are counted', () => {
+test('the maximum stored size of a job is computed', () => {
   for (const name of ['open array', 'open service with every field', 'two dependencies'])
     forms.check(`bytes: ${name}`, String(maxJobBytes(JOBS[name]!)));
 });
 
-test('finished tasks: each part of a large array', () => {
+test('completed tasks: each segment of a large array', () => {
   const tasks = COMPLETION_SEGMENT_TASKS * 2 + 9;
   const finished = [
     0,
@@ -146,31 +160,31 @@
     COMPLETION_SEGMENT_TASKS + 17,
     COMPLETION_SEGMENT_TASKS * 2 + 8,
   ];
-  const done = new CompletionBitmap(tasks);
-  for (const task of finished) done.add(task);
-  const read = new CompletionBitmap(tasks);
-  for (const chunk of [0, 1, 2]) {
-    const form = `finished tasks, part ${chunk}`;
-    forms.check(form, encodeCompletionSegment(done, chunk));
-    decodeCompletionSegment(read, chunk, forms.text(form));
+  const completedTasks = new CompletionBitmap(tasks);
+  for (const task of finished) completedTasks.add(task);
+  const decodedTasks = new CompletionBitmap(tasks);
+  for (const segment of [0, 1, 2]) {
+    const formName = `finished tasks, part ${segment}`;
+    forms.check(formName, encodeCompletionSegment(completedTasks, segment));
+    decodeCompletionSegment(decodedTasks, segment, forms.getText(formName));
   }
   forms.check('finished tasks, none', encodeCompletionSegment(new CompletionBitmap(tasks), 0));
   for (let task = 0; task < tasks; task++)
-    assert.equal(read.has(task), finished.includes(task), String(task));
+    assert.equal(decodedTasks.has(task), finished.includes(task), String(task));
 });
 
-test('a list of dependencies that is too long for one value is split', () => {
+test('a dependency list that is too long for one value is split', () => {
   const uids = ['job-000001', 'job-000002', 'job-000003', 'job-4', 'job-0000000005'];
   const parts = splitByBytes(uids, 40);
-  parts.forEach((part, i) => forms.check(`dependency list, part ${i}`, formatJson(part)));
+  parts.forEach((part, index) => forms.check(`dependency list, part ${index}`, formatJson(part)));
   const spec = jobSpec({ dependencyList: { id: 'a1', parts: parts.length } });
-  const stored = parts.map((_, i) => parseJson(forms.text(`dependency list, part ${i}`)));
-  const valueOf = (key: string): unknown => stored[Number(key.split('-').at(-1))];
-  assert.deepEqual(readDependencies(spec, valueOf), uids);
+  const storedParts = parts.map((_, index) => parseJson(forms.getText(`dependency list, part ${index}`)));
+  const getStoredPart = (key: string): unknown => storedParts[Number(key.split('-').at(-1))];
+  assert.deepEqual(readDependencies(spec, getStoredPart), uids);
   assert.equal(
     readDependencies(spec, () => undefined),
     undefined,
   );
 });
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/user-answers.test.ts
+++ b/test/golden/user-answers.test.ts
@@ -1,14 +1,15 @@
+/** Golden forms of the responses to users, and of the transactions that their requests cause. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_USERS_WAITING, MEMORY_CHECK_INTERVAL_MS, STATE_FAILING_AFTER_MS } from '../../src/constants.js';
 import { CATALOG_KEY, jobKey } from '../../src/state/records.js';
-import { STATE_LIMITS, type ControllerBench } from './controller-bench.js';
-import { DONE_JOB, JOBS, startFollower } from './follower.js';
+import { STATE_STORE_LIMITS, type ControllerHarness } from './controller-harness.js';
+import { DONE_JOB_VALUE, JOB_UIDS, startFollower } from './follower-fixture.js';
 import { GoldenForms } from './golden-forms.js';
 
 const forms = new GoldenForms('user-answers');
 
-/** A submission in the words of the wire, with every field that may be left out. */
+/** A submission in the wire format, with every optional field. */
 const SUBMISSION = {
   uid: 'job-000412',
   cohort: 'train',
@@ -30,108 +31,119 @@
   pinS: 30,
   pinningS: 4,
   dueS: 900,
-  awaits: [JOBS.pending, JOBS.done, JOBS.pending],
+  awaits: [JOB_UIDS.pending, JOB_UIDS.done, JOB_UIDS.pending],
 };
 
-const { builds: _b, yard: _y, dueS: _d, awaits: _a, ...REQUIRED } = SUBMISSION;
+const { builds: _builds, yard: _yard, dueS: _dueS, awaits: _awaits, ...REQUIRED_FIELDS } = SUBMISSION;
 
-type Request = [method: string, path: string, body?: unknown];
+type UserRequest = [method: string, path: string, body?: unknown];
 
-const submit = (fields: Record<string, unknown> = {}): Request => [
+const createSubmitRequest = (fields: Record<string, unknown> = {}): UserRequest => [
   'POST',
   '/submissions',
   { ...SUBMISSION, ...fields },
 ];
-const poll = (uid: string): Request => ['GET', `/submissions/${uid}`];
-const abort = (uid: string): Request => ['POST', `/submissions/${uid}/abort`];
-
-const ask = (bench: ControllerBench, [method, path, body]: Request): Promise<string> =>
-  bench.ask(method, path, typeof body === 'string' || body === undefined ? body : JSON.stringify(body));
+const createPollRequest = (uid: string): UserRequest => ['GET', `/submissions/${uid}`];
+const createAbortRequest = (uid: string): UserRequest => ['POST', `/submissions/${uid}/abort`];
+
+const sendRequest = (harness: ControllerHarness, [method, path, body]: UserRequest): Promise<string> =>
+  harness.sendRequest(
+    method,
+    path,
+    typeof body === 'string' || body === undefined ? body : JSON.stringify(body),
+  );
 
-/** Requests to a controller that serves, each to one that has just begun. */
-const REQUESTS: Record<string, Request> = {
+/** Requests that a controller serves. Each test starts a new controller. */
+const REQUESTS: Record<string, UserRequest> = {
   healthy: ['GET', '/healthz'],
-  'job accepted': submit(),
-  'job accepted, least fields': ['POST', '/submissions', REQUIRED],
-  'job accepted, null and later fields': submit({
+  'job accepted': createSubmitRequest(),
+  'job accepted, least fields': ['POST', '/submissions', REQUIRED_FIELDS],
+  'job accepted, null and later fields': createSubmitRequest({
     builds: null,
     yard: null,
     dueS: null,
     awaits: null,
     later: 1,
   }),
-  'service accepted': submit({ shape: 'standing', rank: 'prod', awaits: [] }),
-  'repeated, pending': submit({ uid: JOBS.pending }),
-  'repeated, running': submit({ uid: JOBS.running }),
-  'repeated, done': submit({ uid: JOBS.done }),
-  'repeated, cancelled': submit({ uid: JOBS.cancelled }),
-  'repeated, unreadable': submit({ uid: JOBS.unreadable }),
-  'repeated, of a team that is not known': submit({ uid: JOBS.pending, crew: 'nobody' }),
-  'phase pending': poll(JOBS.pending),
-  'phase running': poll(JOBS.running),
-  'phase done': poll(JOBS.done),
-  'phase cancelled': poll(JOBS.cancelled),
-  'phase cancelled, some tasks finished': poll(JOBS.cancelledInPart),
-  'phase cancelled with what it depends on': poll(JOBS.dependsOnCancelled),
-  'phase of a service': poll(JOBS.service),
-  'phase of a large array': poll(JOBS.large),
-  'phase unreadable': poll(JOBS.unreadable),
-  'phase of a job that is not known': poll('job-777'),
-  'phase of what is no job': poll('vm-1'),
-  'cancelled now, pending': abort(JOBS.pending),
-  'cancelled now, running': abort(JOBS.running),
-  'cancelled, done already': abort(JOBS.done),
-  'cancelled, cancelled already': abort(JOBS.cancelled),
-  'cancelled, not known': abort('job-777'),
-  'cancelled, no job': abort('vm-1'),
-  'never runs: unknown team': submit({ crew: 'nobody' }),
-  'never runs: unknown type': submit({ builds: ['m9'] }),
-  'never runs: unknown zone': submit({ yard: 'north' }),
-  'never runs: too large': submit({ cpus: 4.5 }),
-  'never runs: more than the limit': submit({ shape: 'standing', pieces: 11 }),
-  'never runs: accelerators': submit({ accelerators: 1 }),
-  'never runs: a dependency that was never accepted': submit({ awaits: [JOBS.pending, 'job-777'] }),
-  'never runs: depends on itself': submit({ awaits: [SUBMISSION.uid] }),
-  'never runs: depends on a service': submit({ awaits: [JOBS.service] }),
-  'never runs: too long': submit({ builds: ['m4', ...Array.from({ length: 60 }, () => 'x'.repeat(190))] }),
+  'service accepted': createSubmitRequest({ shape: 'standing', rank: 'prod', awaits: [] }),
+  'repeated, pending': createSubmitRequest({ uid: JOB_UIDS.pending }),
+  'repeated, running': createSubmitRequest({ uid: JOB_UIDS.running }),
+  'repeated, done': createSubmitRequest({ uid: JOB_UIDS.done }),
+  'repeated, cancelled': createSubmitRequest({ uid: JOB_UIDS.cancelled }),
+  'repeated, unreadable': createSubmitRequest({ uid: JOB_UIDS.unreadable }),
+  'repeated, of a team that is not known': createSubmitRequest({ uid: JOB_UIDS.pending, crew: 'nobody' }),
+  'phase pending': createPollRequest(JOB_UIDS.pending),
+  'phase running': createPollRequest(JOB_UIDS.running),
+  'phase done': createPollRequest(JOB_UIDS.done),
+  'phase cancelled': createPollRequest(JOB_UIDS.cancelled),
+  'phase cancelled, some tasks finished': createPollRequest(JOB_UIDS.cancelledWithFinishedTasks),
+  'phase cancelled with what it depends on': createPollRequest(JOB_UIDS.dependsOnCancelled),
+  'phase of a service': createPollRequest(JOB_UIDS.service),
+  'phase of a large array': createPollRequest(JOB_UIDS.large),
+  'phase unreadable': createPollRequest(JOB_UIDS.unreadable),
+  'phase of a job that is not known': createPollRequest('job-777'),
+  'phase of what is no job': createPollRequest('vm-1'),
+  'cancelled now, pending': createAbortRequest(JOB_UIDS.pending),
+  'cancelled now, running': createAbortRequest(JOB_UIDS.running),
+  'cancelled, done already': createAbortRequest(JOB_UIDS.done),
+  'cancelled, cancelled already': createAbortRequest(JOB_UIDS.cancelled),
+  'cancelled, not known': createAbortRequest('job-777'),
+  'cancelled, no job': createAbortRequest('vm-1'),
+  'never runs: unknown team': createSubmitRequest({ crew: 'nobody' }),
+  'never runs: unknown type': createSubmitRequest({ builds: ['m9'] }),
+  'never runs: unknown zone': createSubmitRequest({ yard: 'north' }),
+  'never runs: too large': createSubmitRequest({ cpus: 4.5 }),
+  'never runs: more than the limit': createSubmitRequest({ shape: 'standing', pieces: 11 }),
+  'never runs: accelerators': createSubmitRequest({ accelerators: 1 }),
+  'never runs: a dependency that was never accepted': createSubmitRequest({
+    awaits: [JOB_UIDS.pending, 'job-777'],
+  }),
+  'never runs: depends on itself': createSubmitRequest({ awaits: [SUBMISSION.uid] }),
+  'never runs: depends on a service': createSubmitRequest({ awaits: [JOB_UIDS.service] }),
+  'never runs: too long': createSubmitRequest({
+    builds: ['m4', ...Array.from({ length: 60 }, () => 'x'.repeat(190))],
+  }),
   'no such path': ['GET', '/'],
-  'no such path below submissions': ['GET', `/submissions/${JOBS.pending}/pieces`],
-  'no such path below abort': ['POST', `/submissions/${JOBS.pending}/abort/now`],
+  'no such path below submissions': ['GET', `/submissions/${JOB_UIDS.pending}/pieces`],
+  'no such path below abort': ['POST', `/submissions/${JOB_UIDS.pending}/abort/now`],
   'wrong method: health': ['POST', '/healthz'],
   'wrong method: submission': ['GET', '/submissions'],
-  'wrong method: job': ['DELETE', `/submissions/${JOBS.pending}`],
-  'wrong method: cancellation': ['GET', `/submissions/${JOBS.pending}/abort`],
+  'wrong method: job': ['DELETE', `/submissions/${JOB_UIDS.pending}`],
+  'wrong method: cancellation': ['GET', `/submissions/${JOB_UIDS.pending}/abort`],
   'wrong method: report': ['GET', '/v1/report'],
 };
 
 for (const [name, request] of Object.entries(REQUESTS))
-  test(`answer: ${name}`, async () => {
-    const bench = await startFollower();
-    const before = bench.calls.length;
-    forms.check(name, await ask(bench, request));
-    const writes = bench.calls.slice(before).filter((call) => call.includes('/multi'));
-    writes.forEach((call, i) => forms.check(`${name}: write ${i + 1}`, call));
+  test(`response: ${name}`, async () => {
+    const harness = await startFollower();
+    const callCountBefore = harness.calls.length;
+    forms.check(name, await sendRequest(harness, request));
+    const writes = harness.calls.slice(callCountBefore).filter((call) => call.includes('/multi'));
+    writes.forEach((call, index) => forms.check(`${name}: write ${index + 1}`, call));
   });
 
-test('a list of dependencies that does not fit into the value of its job is written first, in keys of its own', async () => {
-  const uids = Array.from({ length: 60 }, (_, i) => `job-${200_000 + i}`);
-  const rows = Object.fromEntries(uids.map((uid) => [jobKey(uid), DONE_JOB]));
-  const bench = await startFollower(rows, { state: { ...STATE_LIMITS, valueBytes: 512 } });
-  const before = bench.calls.length;
-  forms.check('long list', await ask(bench, ['POST', '/submissions', { ...REQUIRED, awaits: uids }]));
-  const writes = bench.calls.slice(before).filter((call) => call.includes('/multi'));
+test('a dependency list that does not fit into the value of its job is written first, under separate keys', async () => {
+  const uids = Array.from({ length: 60 }, (_, index) => `job-${200_000 + index}`);
+  const jobValues = Object.fromEntries(uids.map((uid) => [jobKey(uid), DONE_JOB_VALUE]));
+  const harness = await startFollower(jobValues, { state: { ...STATE_STORE_LIMITS, valueBytes: 512 } });
+  const callCountBefore = harness.calls.length;
+  forms.check(
+    'long list',
+    await sendRequest(harness, ['POST', '/submissions', { ...REQUIRED_FIELDS, awaits: uids }]),
+  );
+  const writes = harness.calls.slice(callCountBefore).filter((call) => call.includes('/multi'));
   assert.equal(writes.length, 2);
-  writes.forEach((call, i) => forms.check(`long list: write ${i + 1}`, call));
+  writes.forEach((call, index) => forms.check(`long list: write ${index + 1}`, call));
 });
 
-/** Bodies that are no submission; the first mistake is told. */
-const MISTAKES: Record<string, unknown> = {
+/** Bodies that are not valid submissions. The response describes the first mistake. */
+const INVALID_BODIES: Record<string, unknown> = {
   'no JSON': '{',
   'no body': '',
   'no object': [],
   'a number': 7,
   ...Object.fromEntries(
-    Object.keys(REQUIRED).map((field) => [`without ${field}`, { ...SUBMISSION, [field]: undefined }]),
+    Object.keys(REQUIRED_FIELDS).map((field) => [`without ${field}`, { ...SUBMISSION, [field]: undefined }]),
   ),
   ...Object.fromEntries(
     Object.keys(SUBMISSION).map((field) => [`${field} is an object`, { ...SUBMISSION, [field]: { a: 1 } }]),
@@ -152,80 +164,83 @@
   'two mistakes': { ...SUBMISSION, crew: 1, cohort: 1 },
 };
 
-for (const [name, body] of Object.entries(MISTAKES))
-  test(`mistake: ${name}`, async () => {
-    const bench = await startFollower();
-    bench.logLevels.length = 0;
-    const text = await ask(bench, ['POST', '/submissions', body]);
-    forms.check(`mistake: ${name}`, text);
-    assert.match(text, /^HTTP\/1\.1 400 /);
-    assert.deepEqual(bench.logLevels, ['info']);
+for (const [name, body] of Object.entries(INVALID_BODIES))
+  test(`invalid submission: ${name}`, async () => {
+    const harness = await startFollower();
+    harness.logLevels.length = 0;
+    const responseText = await sendRequest(harness, ['POST', '/submissions', body]);
+    forms.check(`mistake: ${name}`, responseText);
+    assert.match(responseText, /^HTTP\/1\.1 400 /);
+    assert.deepEqual(harness.logLevels, ['info']);
   });
 
-const CLOSES = /\r\nConnection: close\r\n/;
-const RETRY = /^HTTP\/1\.1 503 .*\r\nRetry-After: 1\r\n/s;
+const CLOSE_HEADER_PATTERN = /\r\nConnection: close\r\n/;
+const RETRY_RESPONSE_PATTERN = /^HTTP\/1\.1 503 .*\r\nRetry-After: 1\r\n/s;
 
-test('no machine types are known: users come back later', async () => {
-  const bench = await startFollower({ [CATALOG_KEY]: undefined });
-  forms.check('no types', await ask(bench, submit()));
-  forms.check('no types, known job', await ask(bench, submit({ uid: JOBS.pending })));
+test('no instance types are known: users are told to retry later', async () => {
+  const harness = await startFollower({ [CATALOG_KEY]: undefined });
+  forms.check('no types', await sendRequest(harness, createSubmitRequest()));
+  forms.check(
+    'no types, known job',
+    await sendRequest(harness, createSubmitRequest({ uid: JOB_UIDS.pending })),
+  );
 });
 
-test('the state service serves nobody: users come back later, what is final is told', async () => {
-  const bench = await startFollower();
-  bench.state.refused.add('*');
-  await bench.pass(STATE_FAILING_AFTER_MS * 4);
-  bench.hear('hearth-1', { kind: 'status', isEligible: false, relayTarget: 'hearth-1' });
+test('the state store serves no controller: users are told to retry later, but final phases are still reported', async () => {
+  const harness = await startFollower();
+  harness.stateStore.refused.add('*');
+  await harness.advance(STATE_FAILING_AFTER_MS * 4);
+  harness.receiveFromPeer('hearth-1', { kind: 'status', isEligible: false, relayTarget: 'hearth-1' });
   for (const [name, request] of [
-    ['submission', submit()],
-    ['poll', poll(JOBS.pending)],
-    ['poll of a done job', poll(JOBS.done)],
-    ['cancellation', abort(JOBS.pending)],
-    ['health', ['GET', '/healthz'] as Request],
+    ['submission', createSubmitRequest()],
+    ['poll', createPollRequest(JOB_UIDS.pending)],
+    ['poll of a done job', createPollRequest(JOB_UIDS.done)],
+    ['cancellation', createAbortRequest(JOB_UIDS.pending)],
+    ['health', ['GET', '/healthz'] as UserRequest],
   ] as const)
-    forms.check(`outage: ${name}`, await ask(bench, request));
+    forms.check(`outage: ${name}`, await sendRequest(harness, request));
 });
 
-test('the state service serves another only: users are sent elsewhere', async () => {
-  const bench = await startFollower();
-  bench.state.refused.add('*');
-  await bench.pass(STATE_FAILING_AFTER_MS * 4);
-  bench.hear('hearth-1', { kind: 'status', isEligible: true, relayTarget: 'hearth-1' });
-  await bench.pass(1);
+test('the state store serves only another controller: users are told to retry on a new connection', async () => {
+  const harness = await startFollower();
+  harness.stateStore.refused.add('*');
+  await harness.advance(STATE_FAILING_AFTER_MS * 4);
+  harness.receiveFromPeer('hearth-1', { kind: 'status', isEligible: true, relayTarget: 'hearth-1' });
+  await harness.advance(1);
   for (const [name, request] of [
-    ['submission', submit()],
-    ['poll', poll(JOBS.pending)],
-    ['health', ['GET', '/healthz'] as Request],
+    ['submission', createSubmitRequest()],
+    ['poll', createPollRequest(JOB_UIDS.pending)],
+    ['health', ['GET', '/healthz'] as UserRequest],
   ] as const) {
-    const text = await ask(bench, request);
-    forms.check(`not served alone: ${name}`, text);
-    assert.match(text, RETRY);
-    if (name !== 'health') assert.match(text, CLOSES);
+    const responseText = await sendRequest(harness, request);
+    forms.check(`not served alone: ${name}`, responseText);
+    assert.match(responseText, RETRY_RESPONSE_PATTERN);
+    if (name !== 'health') assert.match(responseText, CLOSE_HEADER_PATTERN);
   }
 });
 
-test('memory is short: users come back later, on a new connection', async () => {
-  const bench = await startFollower();
-  bench.memoryUsedBytes = 2 ** 40;
-  await bench.pass(MEMORY_CHECK_INTERVAL_MS);
-  const text = await ask(bench, poll(JOBS.pending));
-  forms.check('memory is short', text);
-  assert.match(text, CLOSES);
+test('memory is short: users are told to retry later, on a new connection', async () => {
+  const harness = await startFollower();
+  harness.memoryUsedBytes = 2 ** 40;
+  await harness.advance(MEMORY_CHECK_INTERVAL_MS);
+  const responseText = await sendRequest(harness, createPollRequest(JOB_UIDS.pending));
+  forms.check('memory is short', responseText);
+  assert.match(responseText, CLOSE_HEADER_PATTERN);
 });
 
-test('too many users wait: the next come back later', async () => {
-  const bench = await startFollower();
-  bench.state.slowMs = () => 60_000;
-  const waiting = Array.from({ length: MAX_USERS_WAITING }, () =>
-    bench.begin(...(poll(JOBS.pending) as [string, string])),
+test('too many users are waiting: further users are told to retry later', async () => {
+  const harness = await startFollower();
+  harness.stateStore.slowMs = () => 60_000;
+  const waitingRequests = Array.from({ length: MAX_USERS_WAITING }, () =>
+    harness.startRequest(...(createPollRequest(JOB_UIDS.pending) as [string, string])),
   );
-  const next = bench.begin('GET', `/submissions/${JOBS.pending}`);
-  assert.ok(next.text !== undefined);
-  forms.check('too many users', next.text);
-  assert.ok(waiting.every(({ text }) => text === undefined));
-  await bench.pass(5_000);
-  assert.ok(waiting.every(({ text }) => text !== undefined && RETRY.test(text)));
-  forms.check('no answer of the state service in time', waiting[0]!.text!);
+  const nextRequest = harness.startRequest('GET', `/submissions/${JOB_UIDS.pending}`);
+  assert.ok(nextRequest.text !== undefined);
+  forms.check('too many users', nextRequest.text);
+  assert.ok(waitingRequests.every(({ text }) => text === undefined));
+  await harness.advance(5_000);
+  assert.ok(waitingRequests.every(({ text }) => text !== undefined && RETRY_RESPONSE_PATTERN.test(text)));
+  forms.check('no answer of the state service in time', waitingRequests[0]!.text!);
 });
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/worker-answers.test.ts
+++ b/test/golden/worker-answers.test.ts
@@ -1,3 +1,4 @@
+/** Golden forms of the responses to heartbeats, and of the frames and transactions that a follower sends. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -6,142 +7,157 @@
   PEER_HEARTBEAT_MS,
 } from '../../src/constants.js';
 import { LEADER_KEY, TERM_KEY } from '../../src/state/records.js';
-import { ControllerBench } from './controller-bench.js';
-import { JOBS, startFollower } from './follower.js';
+import { ControllerHarness } from './controller-harness.js';
+import { JOB_UIDS, startFollower } from './follower-fixture.js';
 import { GoldenForms } from './golden-forms.js';
-import { messagesTo } from './peer-bytes.js';
+import { findMessagesTo } from './peer-frame-hex.js';
 
 const forms = new GoldenForms('worker-answers');
 
-const REPORT =
+const HEARTBEAT_BODY =
   '{"hearth":"vm-000001","address":"10.1.0.1:9000","build":"m4","yard":"east","loaner":false,"tenure":1,"tick":4,' +
   '"baton":3,"warningS":null,"pieces":[]}';
 
-const inZone = (zone: string): string => REPORT.replace('"yard":"east"', `"yard":"${zone}"`);
+const createHeartbeatInZone = (zone: string): string =>
+  HEARTBEAT_BODY.replace('"yard":"east"', `"yard":"${zone}"`);
 
-test('what is no report is refused', async () => {
-  const bench = await startFollower();
-  bench.logLevels.length = 0;
+test('a malformed heartbeat is rejected', async () => {
+  const harness = await startFollower();
+  harness.logLevels.length = 0;
   for (const [name, body] of [
     ['no JSON', '{'],
     ['no object', '[]'],
-    ['lacks a field', REPORT.replace('"tick":4,', '')],
-    ['a list of tasks that is none', REPORT.replace('"pieces":[]', '"pieces":7')],
+    ['lacks a field', HEARTBEAT_BODY.replace('"tick":4,', '')],
+    ['a list of tasks that is none', HEARTBEAT_BODY.replace('"pieces":[]', '"pieces":7')],
   ] as const)
-    forms.check(`no report: ${name}`, await bench.ask('POST', '/v1/report', body));
-  assert.deepEqual(bench.logLevels, []);
+    forms.check(`no report: ${name}`, await harness.sendRequest('POST', '/v1/report', body));
+  assert.deepEqual(harness.logLevels, []);
 });
 
-test('no leader is known: the worker tries another controller', async () => {
-  const bench = new ControllerBench();
-  bench.state.refused.add('*');
-  bench.start();
-  await bench.pass(500);
-  forms.check('no leader', await bench.ask('POST', '/v1/report', REPORT));
+test('no leader is known: the worker is told to try another controller', async () => {
+  const harness = new ControllerHarness();
+  harness.stateStore.refused.add('*');
+  harness.start();
+  await harness.advance(500);
+  forms.check('no leader', await harness.sendRequest('POST', '/v1/report', HEARTBEAT_BODY));
 });
 
-test('a worker is sent to a controller of its own zone that relays, or to a leader that can only be reached by it', async () => {
-  const bench = await startFollower();
-  forms.check('sent to the leader in its zone', await bench.ask('POST', '/v1/report', inZone('west')));
-  bench.refusing.add('hearth-1');
-  forms.check('sent to a leader that refuses us', await bench.ask('POST', '/v1/report', REPORT));
+test('a worker is redirected to a leader in its zone, or to a leader that refuses connections from this controller', async () => {
+  const harness = await startFollower();
+  forms.check(
+    'sent to the leader in its zone',
+    await harness.sendRequest('POST', '/v1/report', createHeartbeatInZone('west')),
+  );
+  harness.peersRefusingConnections.add('hearth-1');
+  forms.check(
+    'sent to a leader that refuses us',
+    await harness.sendRequest('POST', '/v1/report', HEARTBEAT_BODY),
+  );
 });
 
-test('a report is relayed to the leader, and the answer of the leader passed on', async () => {
+test('a heartbeat is relayed to the leader, and the response of the leader is returned', async () => {
   for (const [name, status, body] of [
     ['served', 200, '{"baton":3,"orders":[]}'],
     ['refused', 503, '{}'],
   ] as const) {
-    const bench = await startFollower();
-    const from = bench.frames.length;
-    const answer = bench.begin('POST', '/v1/report', REPORT);
-    await bench.pass(5);
-    const relayed = messagesTo(bench, 'hearth-1', from).find((message) => message.kind === 'relay');
-    assert.ok(relayed);
-    assert.equal(relayed.body, REPORT);
-    if (name === 'served') forms.check('frame that relays a report', bench.frames[from]!);
-    bench.hear('hearth-1', { kind: 'relayed', id: relayed.id, status, body });
-    await bench.pass(1);
-    forms.check(`relayed, ${name}`, answer.text!);
+    const harness = await startFollower();
+    const firstFrameIndex = harness.sentFrames.length;
+    const pendingResponse = harness.startRequest('POST', '/v1/report', HEARTBEAT_BODY);
+    await harness.advance(5);
+    const relayMessage = findMessagesTo(harness, 'hearth-1', firstFrameIndex).find(
+      (message) => message.kind === 'relay',
+    );
+    assert.ok(relayMessage);
+    assert.equal(relayMessage.body, HEARTBEAT_BODY);
+    if (name === 'served') forms.check('frame that relays a report', harness.sentFrames[firstFrameIndex]!);
+    harness.receiveFromPeer('hearth-1', { kind: 'relayed', id: relayMessage.id, status, body });
+    await harness.advance(1);
+    forms.check(`relayed, ${name}`, pendingResponse.text!);
   }
 });
 
-test('a report that the leader does not answer in time', async () => {
-  const bench = await startFollower();
-  // The leader is heard all the time: nobody takes its place.
-  const beat = (): void => {
-    bench.hear('hearth-1', { kind: 'heartbeat' });
-    bench.clock.after(PEER_HEARTBEAT_MS, beat);
+test('the leader does not respond to a relayed heartbeat in time', async () => {
+  const harness = await startFollower();
+  // The leader keeps sending heartbeats, so that no other controller is elected.
+  const sendLeaderHeartbeats = (): void => {
+    harness.receiveFromPeer('hearth-1', { kind: 'heartbeat' });
+    harness.clock.after(PEER_HEARTBEAT_MS, sendLeaderHeartbeats);
   };
-  beat();
-  forms.check('relayed, no answer', await bench.ask('POST', '/v1/report', REPORT));
+  sendLeaderHeartbeats();
+  forms.check('relayed, no answer', await harness.sendRequest('POST', '/v1/report', HEARTBEAT_BODY));
 });
 
-test('what the leader relays to a controller that does not lead is refused', async () => {
-  const bench = await startFollower();
-  const from = bench.frames.length;
-  bench.hear('hearth-3', { kind: 'relay', id: 9, body: REPORT });
-  await bench.pass(1);
-  forms.check('relayed to a controller that does not lead', bench.frames.slice(from)[0]!);
+test('a heartbeat that is relayed to a controller that does not lead is rejected', async () => {
+  const harness = await startFollower();
+  const firstFrameIndex = harness.sentFrames.length;
+  harness.receiveFromPeer('hearth-3', { kind: 'relay', id: 9, body: HEARTBEAT_BODY });
+  await harness.advance(1);
+  forms.check('relayed to a controller that does not lead', harness.sentFrames.slice(firstFrameIndex)[0]!);
 });
 
-test('the leader is cut off: its machines keep their leases, and tasks of cancelled jobs are stopped', async () => {
-  const bench = await startFollower();
-  await bench.pass(LEASE_PROXY_ACTIVATION_MS + 1_000);
-  const before = bench.calls.length;
-  const tasks =
-    `[{"piece":"${JOBS.cancelled}/0","try":7,"phase":"running"},{"piece":"${JOBS.pending}/1","try":8,"phase":"running"},` +
-    `{"piece":"${JOBS.done}/2","try":9,"phase":"saving"},{"piece":"${JOBS.cancelled}/3","try":10,"phase":"exited"}]`;
-  const busy = REPORT.replace('"pieces":[]', `"pieces":${tasks}`);
-  forms.check('cut off: idle machine', await bench.ask('POST', '/v1/report', REPORT));
-  forms.check('cut off: busy machine', await bench.ask('POST', '/v1/report', busy));
-  const stranger = REPORT.replace('vm-000001', 'vm-9');
-  forms.check('cut off: machine without record', await bench.ask('POST', '/v1/report', stranger));
-  const later = REPORT.replace('"baton":3', '"baton":4');
-  forms.check('cut off: machine of a later term', await bench.ask('POST', '/v1/report', later));
-  bench.hear('hearth-1', { kind: 'heartbeat' });
-  for (let passedMs = 0; passedMs < LEASE_PROXY_READ_VALIDITY_MS * 3; passedMs += PEER_HEARTBEAT_MS) {
-    bench.hear('hearth-1', { kind: 'heartbeat' });
-    await bench.pass(PEER_HEARTBEAT_MS);
+test('the leader is partitioned: the leases of its nodes are renewed, and tasks of cancelled jobs are stopped', async () => {
+  const harness = await startFollower();
+  await harness.advance(LEASE_PROXY_ACTIVATION_MS + 1_000);
+  const callCountBefore = harness.calls.length;
+  const taskList =
+    `[{"piece":"${JOB_UIDS.cancelled}/0","try":7,"phase":"running"},{"piece":"${JOB_UIDS.pending}/1","try":8,"phase":"running"},` +
+    `{"piece":"${JOB_UIDS.done}/2","try":9,"phase":"saving"},{"piece":"${JOB_UIDS.cancelled}/3","try":10,"phase":"exited"}]`;
+  const busyHeartbeat = HEARTBEAT_BODY.replace('"pieces":[]', `"pieces":${taskList}`);
+  forms.check('cut off: idle machine', await harness.sendRequest('POST', '/v1/report', HEARTBEAT_BODY));
+  forms.check('cut off: busy machine', await harness.sendRequest('POST', '/v1/report', busyHeartbeat));
+  const unknownNodeHeartbeat = HEARTBEAT_BODY.replace('vm-000001', 'vm-9');
+  forms.check(
+    'cut off: machine without record',
+    await harness.sendRequest('POST', '/v1/report', unknownNodeHeartbeat),
+  );
+  const laterTermHeartbeat = HEARTBEAT_BODY.replace('"baton":3', '"baton":4');
+  forms.check(
+    'cut off: machine of a later term',
+    await harness.sendRequest('POST', '/v1/report', laterTermHeartbeat),
+  );
+  harness.receiveFromPeer('hearth-1', { kind: 'heartbeat' });
+  for (let elapsedMs = 0; elapsedMs < LEASE_PROXY_READ_VALIDITY_MS * 3; elapsedMs += PEER_HEARTBEAT_MS) {
+    harness.receiveFromPeer('hearth-1', { kind: 'heartbeat' });
+    await harness.advance(PEER_HEARTBEAT_MS);
   }
-  const writes = bench.calls.slice(before).filter((call) => call.includes('/multi'));
-  writes.forEach((call, i) => forms.check(`cut off: write ${i + 1}`, call));
+  const writes = harness.calls.slice(callCountBefore).filter((call) => call.includes('/multi'));
+  writes.forEach((call, index) => forms.check(`cut off: write ${index + 1}`, call));
   assert.equal(writes.length, 2);
 });
 
-test('a leader that the state service does not serve is told what was cancelled, and given its promise', async () => {
-  const bench = await startFollower();
-  bench.state.refused.add('*');
-  await bench.pass(4_000);
-  const from = bench.frames.length;
-  bench.hear('hearth-1', {
+test('a leader that the state store does not serve receives the cancellations and the lease votes', async () => {
+  const harness = await startFollower();
+  harness.stateStore.refused.add('*');
+  await harness.advance(4_000);
+  const firstFrameIndex = harness.sentFrames.length;
+  harness.receiveFromPeer('hearth-1', {
     kind: 'leaseVoteRequest',
     round: 5,
     term: 3,
     sinceRevision: 0,
     offset: undefined,
   });
-  bench.hear('hearth-1', {
+  harness.receiveFromPeer('hearth-1', {
     kind: 'leaseVoteRequest',
     round: 6,
     term: 2,
     sinceRevision: 0,
     offset: undefined,
   });
-  bench.hear('hearth-1', { kind: 'leaseVoteRequest', round: 7, term: 3 });
-  await bench.pass(1);
-  const sent = bench.frames.slice(from).filter((line) => line.startsWith('hearth-1 '));
-  sent.forEach((line, i) => forms.check(`answer to a leader that asks, ${i + 1}`, line));
-  const kinds = messagesTo(bench, 'hearth-1', from).map(({ kind }) => kind);
+  harness.receiveFromPeer('hearth-1', { kind: 'leaseVoteRequest', round: 7, term: 3 });
+  await harness.advance(1);
+  const sentFrames = harness.sentFrames.slice(firstFrameIndex).filter((line) => line.startsWith('hearth-1 '));
+  sentFrames.forEach((line, index) => forms.check(`answer to a leader that asks, ${index + 1}`, line));
+  const kinds = findMessagesTo(harness, 'hearth-1', firstFrameIndex).map(({ kind }) => kind);
   assert.deepEqual(kinds, ['cancellations', 'leaseVote', 'leaseVote', 'leaseVote']);
 });
 
-test('what a controller says of itself', async () => {
-  const bench = await startFollower();
-  await bench.pass(PEER_HEARTBEAT_MS);
-  forms.check('able, relays for the leader', bench.frames.at(-1)!);
-  const alone = await startFollower({ [LEADER_KEY]: undefined, [TERM_KEY]: undefined });
-  forms.check('able, first word', alone.frames[0]!);
+test('a controller sends its status to its peers', async () => {
+  const harness = await startFollower();
+  await harness.advance(PEER_HEARTBEAT_MS);
+  forms.check('able, relays for the leader', harness.sentFrames.at(-1)!);
+  const harnessWithoutLeader = await startFollower({ [LEADER_KEY]: undefined, [TERM_KEY]: undefined });
+  forms.check('able, first word', harnessWithoutLeader.sentFrames[0]!);
 });
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
--- a/test/golden/worker-wire.test.ts
+++ b/test/golden/worker-wire.test.ts
@@ -1,3 +1,4 @@
+/** Golden forms of the commands to workers, and the decoding of heartbeats. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ExitCause, Heartbeat, TaskStatus, WorkerCommand } from '../../src/cluster/worker-messages.js';
@@ -7,35 +8,47 @@
 
 const forms = new GoldenForms('worker-wire');
 
-const LARGE = 2n ** 63n + 1n;
+const LARGE_INTEGER = 2n ** 63n + 1n;
 
-const START: WorkerCommand = { kind: 'start', task: 'job-000412/3', attempt: 12_582_913 };
-const STOP: WorkerCommand = { kind: 'stop', task: 'job-000412/4', attempt: 12_582_914, gracePeriodS: 30 };
-const ACKNOWLEDGE: WorkerCommand = { kind: 'acknowledge', task: 'job-000412/5', attempt: LARGE };
+const START_COMMAND: WorkerCommand = { kind: 'start', task: 'job-000412/3', attempt: 12_582_913 };
+const STOP_COMMAND: WorkerCommand = {
+  kind: 'stop',
+  task: 'job-000412/4',
+  attempt: 12_582_914,
+  gracePeriodS: 30,
+};
+const ACKNOWLEDGE_COMMAND: WorkerCommand = {
+  kind: 'acknowledge',
+  task: 'job-000412/5',
+  attempt: LARGE_INTEGER,
+};
 
-/** Commands to workers: under which term, which, and for which session if they don't answer a report. */
-const COMMANDS: Record<string, [token: WireInt, commands: WorkerCommand[], session?: WireInt]> = {
+/** The fencing token, the commands and, for a direct call, the incarnation of the worker that may execute them. */
+const COMMAND_CASES: Record<
+  string,
+  [fencingToken: WireInt, commands: WorkerCommand[], incarnation?: WireInt]
+> = {
   none: [12, []],
-  run: [12, [START]],
-  stop: [12, [STOP]],
-  'stop at once': [12, [{ ...STOP, gracePeriodS: 0 }]],
-  clear: [12, [ACKNOWLEDGE]],
-  'one of each': [LARGE, [START, STOP, ACKNOWLEDGE]],
-  'for a session': [12, [START, STOP], 3],
-  'for a large session': [12, [], LARGE],
+  run: [12, [START_COMMAND]],
+  stop: [12, [STOP_COMMAND]],
+  'stop at once': [12, [{ ...STOP_COMMAND, gracePeriodS: 0 }]],
+  clear: [12, [ACKNOWLEDGE_COMMAND]],
+  'one of each': [LARGE_INTEGER, [START_COMMAND, STOP_COMMAND, ACKNOWLEDGE_COMMAND]],
+  'for a session': [12, [START_COMMAND, STOP_COMMAND], 3],
+  'for a large session': [12, [], LARGE_INTEGER],
 };
 
-for (const [name, [token, commands, session]] of Object.entries(COMMANDS))
+for (const [name, [fencingToken, commands, incarnation]] of Object.entries(COMMAND_CASES))
   test(`commands: ${name}`, () =>
-    forms.check(`commands: ${name}`, formatJson(encodeCommands(token, commands, session))));
+    forms.check(`commands: ${name}`, formatJson(encodeCommands(fencingToken, commands, incarnation))));
 
-test('a worker is sent to another controller', () =>
+test('a redirect to another controller is encoded', () =>
   forms.check('redirect', formatJson(encodeRedirect('hearth-1'))));
 
-const HEAD =
+const COMMON_FIELDS =
   '"hearth":"vm-1","address":"10.1.0.1:9000","build":"g8","yard":"a","loaner":true,"tenure":2,"tick":17,"baton":12';
 
-const REPORT: Heartbeat = {
+const HEARTBEAT: Heartbeat = {
   node: 'vm-1',
   address: '10.1.0.1:9000',
   type: 'g8',
@@ -48,17 +61,24 @@
   tasks: [],
 };
 
-const TASK: TaskStatus = { job: 'job-000412', index: 3, attempt: 7, state: 'running', cause: undefined };
+const TASK_STATUS: TaskStatus = {
+  job: 'job-000412',
+  index: 3,
+  attempt: 7,
+  state: 'running',
+  cause: undefined,
+};
 
-const withTask = (words: string): string => `{${HEAD},"pieces":[{"piece":"job-000412/3","try":7,${words}}]}`;
+const createHeartbeatText = (taskFields: string): string =>
+  `{${COMMON_FIELDS},"pieces":[{"piece":"job-000412/3","try":7,${taskFields}}]}`;
 
-const exited = (cause: TaskStatus['cause']): Heartbeat => ({
-  ...REPORT,
-  tasks: [{ ...TASK, state: 'exited', cause }],
+const createExitedHeartbeat = (cause: TaskStatus['cause']): Heartbeat => ({
+  ...HEARTBEAT,
+  tasks: [{ ...TASK_STATUS, state: 'exited', cause }],
 });
 
-/** Why a task exited: as it stands on the wire, and what is read of it. */
-const CAUSES: [word: string, cause: ExitCause][] = [
+/** Exit causes in the wire format, and as they are decoded. */
+const EXIT_CAUSES: [wireCause: string, cause: ExitCause][] = [
   ['done', 'completed'],
   ['stopped', 'stopped'],
   ['error', 'failed'],
@@ -68,39 +88,48 @@
   ['of a later version', 'unknown'],
 ];
 
-/** Reports of workers, as they stand on the wire, and what is read of them; undefined: that they are none. */
-const REPORTS: [text: string, report: Heartbeat | undefined][] = [
-  [`{${HEAD},"warningS":null,"pieces":[]}`, REPORT],
-  [`{${HEAD},"pieces":[]}`, REPORT],
-  [`{${HEAD},"warningS":28.5,"pieces":[],"later":{"a":1}}`, { ...REPORT, interruptionNoticeS: 28.5 }],
-  [`{${HEAD},"warningS":"soon","pieces":[]}`, REPORT],
-  [`{${HEAD.replace('"loaner":true,', '')},"pieces":[]}`, { ...REPORT, spot: false }],
-  [`{${HEAD.replace('"tick":17', `"tick":${LARGE}`)},"pieces":[]}`, { ...REPORT, sequence: LARGE }],
+/** Heartbeats in the wire format, and as they are decoded. Undefined if the heartbeat is malformed. */
+const HEARTBEAT_CASES: [text: string, expected: Heartbeat | undefined][] = [
+  [`{${COMMON_FIELDS},"warningS":null,"pieces":[]}`, HEARTBEAT],
+  [`{${COMMON_FIELDS},"pieces":[]}`, HEARTBEAT],
+  [
+    `{${COMMON_FIELDS},"warningS":28.5,"pieces":[],"later":{"a":1}}`,
+    { ...HEARTBEAT, interruptionNoticeS: 28.5 },
+  ],
+  [`{${COMMON_FIELDS},"warningS":"soon","pieces":[]}`, HEARTBEAT],
+  [`{${COMMON_FIELDS.replace('"loaner":true,', '')},"pieces":[]}`, { ...HEARTBEAT, spot: false }],
+  [
+    `{${COMMON_FIELDS.replace('"tick":17', `"tick":${LARGE_INTEGER}`)},"pieces":[]}`,
+    { ...HEARTBEAT, sequence: LARGE_INTEGER },
+  ],
   ...(['fetching', 'running', 'saving'] as const).map((state): [string, Heartbeat] => [
-    withTask(`"phase":"${state}"`),
-    { ...REPORT, tasks: [{ ...TASK, state }] },
+    createHeartbeatText(`"phase":"${state}"`),
+    { ...HEARTBEAT, tasks: [{ ...TASK_STATUS, state }] },
   ]),
-  ...CAUSES.map(([word, cause]): [string, Heartbeat] => [
-    withTask(`"phase":"exited","cause":"${word}"`),
-    exited(cause),
+  ...EXIT_CAUSES.map(([wireCause, cause]): [string, Heartbeat] => [
+    createHeartbeatText(`"phase":"exited","cause":"${wireCause}"`),
+    createExitedHeartbeat(cause),
   ]),
-  [withTask('"phase":"exited"'), exited(undefined)],
-  [withTask('"phase":"odd","later":1'), { ...REPORT, tasks: [{ ...TASK, state: 'fetching' }] }],
-  [withTask('"phase":7'), undefined],
-  [`{${HEAD},"pieces":[{"piece":"job-000412","try":7,"phase":"running"}]}`, undefined],
-  [`{${HEAD},"pieces":[{"piece":"job-000412/x","try":7,"phase":"running"}]}`, undefined],
-  [`{${HEAD},"pieces":[{"piece":"job-000412/3","try":-7,"phase":"running"}]}`, undefined],
-  [`{${HEAD},"pieces":[null]}`, undefined],
-  [`{${HEAD},"pieces":{}}`, undefined],
-  [`{${HEAD}}`, undefined],
-  [`{${HEAD.replace('"baton":12', '"baton":"12"')},"pieces":[]}`, undefined],
-  [`{${HEAD.replace('"hearth":"vm-1",', '')},"pieces":[]}`, undefined],
+  [createHeartbeatText('"phase":"exited"'), createExitedHeartbeat(undefined)],
+  [
+    createHeartbeatText('"phase":"odd","later":1'),
+    { ...HEARTBEAT, tasks: [{ ...TASK_STATUS, state: 'fetching' }] },
+  ],
+  [createHeartbeatText('"phase":7'), undefined],
+  [`{${COMMON_FIELDS},"pieces":[{"piece":"job-000412","try":7,"phase":"running"}]}`, undefined],
+  [`{${COMMON_FIELDS},"pieces":[{"piece":"job-000412/x","try":7,"phase":"running"}]}`, undefined],
+  [`{${COMMON_FIELDS},"pieces":[{"piece":"job-000412/3","try":-7,"phase":"running"}]}`, undefined],
+  [`{${COMMON_FIELDS},"pieces":[null]}`, undefined],
+  [`{${COMMON_FIELDS},"pieces":{}}`, undefined],
+  [`{${COMMON_FIELDS}}`, undefined],
+  [`{${COMMON_FIELDS.replace('"baton":12', '"baton":"12"')},"pieces":[]}`, undefined],
+  [`{${COMMON_FIELDS.replace('"hearth":"vm-1",', '')},"pieces":[]}`, undefined],
   ['[]', undefined],
   ['', undefined],
   ['{', undefined],
 ];
 
-for (const [text, report] of REPORTS)
-  test(`report: ${text}`, () => assert.deepEqual(parseHeartbeat(text), report));
+for (const [text, expected] of HEARTBEAT_CASES)
+  test(`heartbeat: ${text}`, () => assert.deepEqual(parseHeartbeat(text), expected));
 
-forms.testNoneLeft();
+forms.addCompletenessTest();
