--- a/scripts/behavior-trace.ts
+++ b/scripts/behavior-trace.ts
@@ -1,6 +1,6 @@
 /**
- * Plays fixed scenarios in the simulation and prints, for each, a digest over every message. Sources that behave alike
- * give the same digests. It is a tool for maintainers and no part of CI; `--help` tells its options.
+ * Runs fixed scenarios in the simulation and prints a digest over all messages of each. Sources with the same
+ * behaviour give the same digests. This is a tool for maintainers and is not part of CI. `--help` lists its options.
  */
 import { fork, spawnSync } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
@@ -10,24 +10,25 @@
 import { CHECKPOINT_MESSAGES, TrafficRecorder, type Recording } from './behavior-trace/recorder.js';
 import { DEFAULT_SECONDS, SCENARIOS, type Scenario } from './behavior-trace/scenarios.js';
 
-/** Each scenario is played with these. */
+/** Each scenario runs once with each of these seeds. */
 const SEEDS = [1, 2, 3];
 
 /** One scenario with one seed. */
-interface Run {
+interface ScenarioRun {
   readonly scenario: Scenario;
   readonly seed: number;
   readonly name: string;
 }
 
-/** What a run left behind. */
+/** The result of one run. The field names are those of the files of digests. */
 interface RunResult extends Recording {
   readonly name: string;
   readonly brokenRules: number;
-  /** Tasks that were started, to show that something ran. */
+  /** Number of tasks that were started, which shows that the scenario ran. */
   readonly tasksStarted: number;
 }
 
+/** Options of the command line. */
 interface Options {
   readonly jobs: string;
   readonly only?: string;
@@ -39,101 +40,108 @@
   readonly messages?: string;
 }
 
-async function play({ scenario, seed, name }: Run, onLine?: (line: string) => void): Promise<RunResult> {
+async function runScenario(
+  { scenario, seed, name }: ScenarioRun,
+  onLine?: (line: string) => void,
+): Promise<RunResult> {
   const recorders: TrafficRecorder[] = [];
-  const day = new SimDay(seed, {
+  const deployment = new SimDay(seed, {
     ...SMALL,
     ...scenario.options,
-    observer: (clock) => {
+    createObserver: (clock) => {
       const recorder = new TrafficRecorder(clock, onLine);
       recorders.push(recorder);
       return recorder;
     },
   });
-  scenario.workload(day);
-  for (const start of scenario.faults) start(day);
-  await day.clock.runUntil((scenario.seconds ?? DEFAULT_SECONDS) * 1000);
+  scenario.workload(deployment);
+  for (const injectFault of scenario.faults) injectFault(deployment);
+  await deployment.clock.runUntil((scenario.seconds ?? DEFAULT_SECONDS) * 1000);
   const [recorder] = recorders;
-  if (!recorder) throw new Error(`no message of ${name} was recorded`);
+  if (!recorder) throw new Error(`no message of run ${name} was recorded`);
   return {
     name,
     ...recorder.finish(),
-    brokenRules: day.rules.broken.length,
-    tasksStarted: day.rules.started,
+    brokenRules: deployment.rules.broken.length,
+    tasksStarted: deployment.rules.startCount,
   };
 }
 
-function selectRuns({ only = '', seeds }: Options): Run[] {
-  const wanted = seeds === undefined ? SEEDS : seeds.split(',').map(Number);
+function selectRuns({ only = '', seeds }: Options): ScenarioRun[] {
+  const selectedSeeds = seeds === undefined ? SEEDS : seeds.split(',').map(Number);
   return SCENARIOS.filter(({ name }) => name.includes(only)).flatMap((scenario) =>
-    wanted.map((seed) => ({ scenario, seed, name: `${scenario.name} / ${seed}` })),
+    selectedSeeds.map((seed) => ({ scenario, seed, name: `${scenario.name} / ${seed}` })),
   );
 }
 
-/** Plays every nth run, the first being `index`. */
-async function playShard(runs: Run[], shard: string): Promise<RunResult[]> {
+/** Runs one shard, given as "index/count": every run whose position modulo `count` is `index`. */
+async function runShard(runs: ScenarioRun[], shard: string): Promise<RunResult[]> {
   const [index, count] = shard.split('/').map(Number) as [number, number];
   const results: RunResult[] = [];
-  for (const [i, run] of runs.entries()) if (i % count === index) results.push(await play(run));
+  for (const [i, run] of runs.entries()) if (i % count === index) results.push(await runScenario(run));
   return results;
 }
 
-/** Plays the runs in several processes. */
-async function playAll(runs: Run[], jobs: number): Promise<RunResult[]> {
-  const shards = Array.from({ length: jobs }, (_, index) => playInProcess(`${index}/${jobs}`));
+/** Distributes the runs over several processes. */
+async function runAll(runs: ScenarioRun[], jobs: number): Promise<RunResult[]> {
+  const shards = Array.from({ length: jobs }, (_, index) => runShardInProcess(`${index}/${jobs}`));
   const results = (await Promise.all(shards)).flat();
-  const order = new Map(runs.map(({ name }, i) => [name, i]));
-  return results.sort((a, b) => order.get(a.name)! - order.get(b.name)!);
+  const positions = new Map(runs.map(({ name }, i) => [name, i]));
+  return results.sort((a, b) => positions.get(a.name)! - positions.get(b.name)!);
 }
 
-function playInProcess(shard: string): Promise<RunResult[]> {
+function runShardInProcess(shard: string): Promise<RunResult[]> {
   return new Promise((resolve, reject) => {
     const child = fork(fileURLToPath(import.meta.url), [...process.argv.slice(2), '--shard', shard]);
     let results: RunResult[] | undefined;
     child.on('message', (message) => (results = message as RunResult[]));
     child.on('exit', (code) =>
-      results ? resolve(results) : reject(new Error(`the process of shard ${shard} ended with ${code}`)),
+      results
+        ? resolve(results)
+        : reject(new Error(`the process of shard ${shard} exited with ${code} and sent no results`)),
     );
   });
 }
 
-/** Names what differs; true when nothing does. */
-function compare(results: RunResult[], { compare: file = '', against }: Options): boolean {
+/** Prints every difference from the results in a file. Returns whether there is none. */
+function compareWithFile(results: RunResult[], { compare: file = '', against }: Options): boolean {
   const expected = new Map(
     (JSON.parse(readFileSync(file, 'utf8')) as RunResult[]).map((run) => [run.name, run]),
   );
   let isSame = true;
   for (const result of results) {
-    const before = expected.get(result.name);
-    if (before?.digest === result.digest && before.brokenRules === result.brokenRules) continue;
+    const expectedResult = expected.get(result.name);
+    if (expectedResult?.digest === result.digest && expectedResult.brokenRules === result.brokenRules)
+      continue;
     isSame = false;
-    print(`differs: ${result.name}: ${before ? whereDiffers(before, result) : 'not in the file'}`);
-    if (against !== undefined) print(firstDifference(result.name, against));
+    print(
+      `differs: ${result.name}: ${expectedResult ? describeDifference(expectedResult, result) : 'not in the file'}`,
+    );
+    if (against !== undefined) print(describeFirstDifference(result.name, against));
   }
   print(`${results.length} runs compared with ${file}: ${isSame ? 'all the same' : 'not the same'}`);
   return isSame;
 }
 
-function whereDiffers(before: RunResult, after: RunResult): string {
-  const at = before.checkpoints.findIndex((digest, i) => digest !== after.checkpoints[i]);
-  const block = at < 0 ? before.checkpoints.length : at;
-  const counts = `${before.messages} messages before, ${after.messages} now`;
-  const rules = `${before.brokenRules} broken rules before, ${after.brokenRules} now`;
+function describeDifference(expected: RunResult, actual: RunResult): string {
+  const mismatchIndex = expected.checkpoints.findIndex((digest, i) => digest !== actual.checkpoints[i]);
+  const block = mismatchIndex < 0 ? expected.checkpoints.length : mismatchIndex;
+  const counts = `${expected.messages} messages before, ${actual.messages} now`;
+  const rules = `${expected.brokenRules} broken rules before, ${actual.brokenRules} now`;
   return `after message ${block * CHECKPOINT_MESSAGES}; ${counts}; ${rules}`;
 }
 
-/** The first message that differs from that of another checkout. */
-function firstDifference(name: string, checkout: string): string {
-  const [before, after] = [checkout, process.cwd()].map((folder) => messagesOf(name, folder)) as [
-    string[],
-    string[],
-  ];
-  const at = before.findIndex((line, i) => line !== after[i]);
-  const index = at < 0 ? before.length : at;
-  return `  message ${index}\n  before: ${before[index] ?? 'none'}\n  now:    ${after[index] ?? 'none'}`;
+/** Describes the first message that differs from that of another checkout. */
+function describeFirstDifference(name: string, checkout: string): string {
+  const [expectedMessages, actualMessages] = [checkout, process.cwd()].map((folder) =>
+    readMessages(name, folder),
+  ) as [string[], string[]];
+  const mismatchIndex = expectedMessages.findIndex((line, i) => line !== actualMessages[i]);
+  const index = mismatchIndex < 0 ? expectedMessages.length : mismatchIndex;
+  return `  message ${index}\n  before: ${expectedMessages[index] ?? 'none'}\n  now:    ${actualMessages[index] ?? 'none'}`;
 }
 
-function messagesOf(name: string, checkout: string): string[] {
+function readMessages(name: string, checkout: string): string[] {
   const script = ['--import', 'tsx', 'scripts/behavior-trace.ts', '--messages', name];
   const output = spawnSync(process.execPath, script, { cwd: checkout, maxBuffer: 1 << 30, encoding: 'utf8' });
   if (output.status !== 0) throw new Error(`${checkout}: ${output.stderr}`);
@@ -146,9 +154,9 @@
 
 async function printMessages(name: string): Promise<void> {
   const run = selectRuns({ jobs: '1' }).find((each) => each.name === name);
-  if (!run) throw new Error(`there is no run "${name}"`);
+  if (!run) throw new Error(`no run is named "${name}"`);
   const lines: string[] = [];
-  await play(run, (line) => lines.push(line));
+  await runScenario(run, (line) => lines.push(line));
   process.stdout.write(lines.join('\n'));
 }
 
@@ -156,35 +164,35 @@
   if (options.messages !== undefined) return printMessages(options.messages);
   const runs = selectRuns(options);
   if (options.shard !== undefined) {
-    process.send?.(await playShard(runs, options.shard), () => process.exit(0));
+    process.send?.(await runShard(runs, options.shard), () => process.exit(0));
     return;
   }
-  const results = await playAll(runs, Number(options.jobs));
+  const results = await runAll(runs, Number(options.jobs));
   if (options.out !== undefined) writeFileSync(options.out, formatResults(results));
   else if (options.compare === undefined) print(formatResults(results));
-  if (options.compare !== undefined && !compare(results, options)) process.exitCode = 1;
+  if (options.compare !== undefined && !compareWithFile(results, options)) process.exitCode = 1;
 }
 
-/** A run a line. */
+/** Formats the results as JSON with one run per line. */
 function formatResults(results: RunResult[]): string {
   return `[\n${results.map((result) => JSON.stringify(result)).join(',\n')}\n]\n`;
 }
 
 const command = new Command('behavior-trace')
   .description(
-    'Plays fixed scenarios and prints a digest over all their messages, to show that behaviour is unchanged.',
+    'Runs fixed scenarios and prints a digest over all their messages, to show that behaviour is unchanged.',
   )
-  .option('--jobs <n>', 'processes that play at the same time', '4')
-  .option('--only <text>', 'only scenarios whose name contains this')
-  .option('--seeds <list>', 'seeds, with commas; default: all')
-  .option('--out <file>', 'write the results there')
-  .option('--compare <file>', 'compare with results written before; exit code 1 when something differs')
+  .option('--jobs <n>', 'number of processes that run scenarios at the same time', '4')
+  .option('--only <text>', 'run only scenarios whose name contains this text')
+  .option('--seeds <list>', 'seeds, separated by commas (default: all)')
+  .option('--out <file>', 'write the results to this file')
+  .option('--compare <file>', 'compare with the results in this file; exit code 1 if any differs')
   .option(
     '--against <folder>',
-    'with --compare: a checkout of the sources before, to name the first message that differs',
+    'with --compare: a checkout of the previous sources, used to show the first message that differs',
   )
-  .option('--messages <run>', 'print all messages of one run, "scenario / seed"')
-  .option('--shard <i/n>', 'for the processes that this command starts')
+  .option('--messages <run>', 'print all messages of one run, given as "scenario / seed"')
+  .option('--shard <i/n>', 'run only one shard (used internally)')
   .parse();
 
 await main(command.opts<Options>());
--- a/scripts/behavior-trace/faults.ts
+++ b/scripts/behavior-trace/faults.ts
@@ -1,252 +1,278 @@
-/** Faults of the behaviour trace: each begins, and where it lasts also ends, at given seconds of a simulated deployment. */
+/**
+ * Faults of the behaviour trace. Each one is scheduled at given seconds of simulated time, and so is its end if it
+ * lasts.
+ */
 import type { SimDay } from '../../src/simulation/day.js';
 import type { SimJob } from '../../src/simulation/rules.js';
 
-/** Something that happens to a simulated deployment; called once, before its clock runs. */
-export type Fault = (day: SimDay) => void;
+/** Schedules a fault in a simulated deployment. Called once, before the clock of the deployment runs. */
+export type Fault = (deployment: SimDay) => void;
 
-const leaderOf = (day: SimDay): string => day.leader ?? day.members[0]!;
+const getLeader = (deployment: SimDay): string => deployment.leader ?? deployment.members[0]!;
 
-const otherMembers = (day: SimDay, member: string): string[] => day.members.filter((each) => each !== member);
+const otherMembers = (deployment: SimDay, member: string): string[] =>
+  deployment.members.filter((each) => each !== member);
 
-const firstRunningHosts = (day: SimDay, count: number): string[] =>
-  [...day.cloud.hosts.values()]
+const listFirstRunningHosts = (deployment: SimDay, count: number): string[] =>
+  [...deployment.cloud.hosts.values()]
     .filter((host) => host.worker)
     .slice(0, count)
     .map((host) => host.name);
 
-/** Several faults together. */
-export const together =
+/** Combines several faults into one. */
+export const combineFaults =
   (...faults: Fault[]): Fault =>
-  (day) => {
-    for (const fault of faults) fault(day);
+  (deployment) => {
+    for (const fault of faults) fault(deployment);
   };
 
-/** Evenly spaced seconds. */
-export const spreadOver = (fromS: number, toS: number, count: number): number[] =>
+/** Returns `count` evenly spaced seconds from `fromS` on and before `toS`. */
+export const spaceEvenly = (fromS: number, toS: number, count: number): number[] =>
   Array.from({ length: count }, (_, i) => fromS + ((toS - fromS) * i) / count);
 
-/** A named controller crashes and is back after a while. */
+/** A given controller crashes and restarts after a delay. */
 export const memberCrash =
-  (atS: number, member: string, backMs: number): Fault =>
-  (day) =>
-    day.at(atS, () => day.crash(member, backMs));
+  (atS: number, member: string, restartDelayMs: number): Fault =>
+  (deployment) =>
+    deployment.at(atS, () => deployment.crash(member, restartDelayMs));
 
-/** Whoever leads then crashes. */
+/** The controller that leads at that time crashes and restarts after a delay. */
 export const leaderCrash =
-  (atS: number, backMs: number): Fault =>
-  (day) =>
-    day.at(atS, () => day.crash(leaderOf(day), backMs));
-
-/** All controllers crash, each back a little later than the one before. */
-export const allCrash =
-  (atS: number, backMs: number, staggerMs = 0): Fault =>
-  (day) =>
-    day.at(atS, () => day.members.forEach((member, i) => day.crash(member, backMs + i * staggerMs)));
+  (atS: number, restartDelayMs: number): Fault =>
+  (deployment) =>
+    deployment.at(atS, () => deployment.crash(getLeader(deployment), restartDelayMs));
+
+/** All controllers crash. Each restarts `staggerMs` later than the one before. */
+export const allMembersCrash =
+  (atS: number, restartDelayMs: number, staggerMs = 0): Fault =>
+  (deployment) =>
+    deployment.at(atS, () =>
+      deployment.members.forEach((member, i) => deployment.crash(member, restartDelayMs + i * staggerMs)),
+    );
 
-/** The state service answers nobody. */
+/** The state service refuses all requests. */
 export const storeOutage =
   (fromS: number, toS: number): Fault =>
-  (day) => {
-    day.at(fromS, () => day.state.refused.add('*'));
-    day.at(toS, () => day.state.endOutage());
+  (deployment) => {
+    deployment.at(fromS, () => deployment.state.refused.add('*'));
+    deployment.at(toS, () => deployment.state.endOutage());
   };
 
-/** The state service refuses the leader alone, until an outage of it ends. */
+/** The state service refuses only the leader, until the end of the next store outage. */
 export const storeRefusesLeader =
   (atS: number): Fault =>
-  (day) =>
-    day.at(atS, () => day.state.refused.add(leaderOf(day)));
+  (deployment) =>
+    deployment.at(atS, () => deployment.state.refused.add(getLeader(deployment)));
 
-/** The state service refuses one controller alone. */
+/** The state service refuses only one controller. */
 export const storeRefusesMember =
   (fromS: number, toS: number, member: string): Fault =>
-  (day) => {
-    day.at(fromS, () => day.state.refused.add(member));
-    day.at(toS, () => day.state.refused.delete(member));
+  (deployment) => {
+    deployment.at(fromS, () => deployment.state.refused.add(member));
+    deployment.at(toS, () => deployment.state.refused.delete(member));
   };
 
-/** A share of the transactions gets no answer and is carried out seconds later. */
-export const lateTransactions =
+/** A share of the transactions gets no answer and is executed seconds later. */
+export const delayedTransactions =
   (fromS: number, toS: number, share: number): Fault =>
-  (day) => {
-    day.at(fromS, () => (day.state.lateShare = share));
-    day.at(toS, () => (day.state.lateShare = 0));
+  (deployment) => {
+    deployment.at(fromS, () => (deployment.state.lateShare = share));
+    deployment.at(toS, () => (deployment.state.lateShare = 0));
   };
 
-/** The state service answers late. */
+/** The state service handles each request after a random delay. */
 export const slowStore =
-  (fromS: number, toS: number, leastMs: number, spreadMs: number): Fault =>
-  (day) => {
-    day.at(fromS, () => (day.state.slowMs = () => leastMs + day.random() * spreadMs));
-    day.at(toS, () => (day.state.slowMs = undefined));
+  (fromS: number, toS: number, minimumMs: number, spreadMs: number): Fault =>
+  (deployment) => {
+    deployment.at(fromS, () => (deployment.state.slowMs = () => minimumMs + deployment.random() * spreadMs));
+    deployment.at(toS, () => (deployment.state.slowMs = undefined));
   };
 
-/** The leader loses the state service and the other controllers, not its workers and users. */
+/** The leader is partitioned from the state service and the other controllers, but not from workers and users. */
 export const leaderIsolated =
   (fromS: number, toS: number): Fault =>
-  (day) => {
-    day.at(fromS, () => {
-      const leader = leaderOf(day);
-      for (const other of ['state', ...otherMembers(day, leader)]) day.network.cut(leader, other);
+  (deployment) => {
+    deployment.at(fromS, () => {
+      const leader = getLeader(deployment);
+      for (const other of ['state', ...otherMembers(deployment, leader)])
+        deployment.network.partition(leader, other);
     });
-    day.at(toS, () => day.network.heal());
+    deployment.at(toS, () => deployment.network.heal());
   };
 
-/** Two controllers can't reach each other. */
-export const membersCut =
+/** A controller is partitioned from some other controllers. */
+export const memberPartition =
   (fromS: number, toS: number, member: string, others: string[]): Fault =>
-  (day) => {
-    day.at(fromS, () => others.forEach((other) => day.network.cut(member, other)));
-    day.at(toS, () => day.network.heal());
+  (deployment) => {
+    deployment.at(fromS, () => others.forEach((other) => deployment.network.partition(member, other)));
+    deployment.at(toS, () => deployment.network.heal());
   };
 
-/** The zones can't reach each other. */
-export const zoneCut =
+/** The zones are partitioned from each other. */
+export const zonePartition =
   (fromS: number, toS: number): Fault =>
-  (day) => {
-    day.at(fromS, () => day.network.cutZones());
-    day.at(toS, () => day.network.heal());
+  (deployment) => {
+    deployment.at(fromS, () => deployment.network.cutZones());
+    deployment.at(toS, () => deployment.network.heal());
   };
 
-/** The first machines can't reach any controller, and none reaches them. */
-export const machinesCut =
+/** The first running machines are partitioned from all controllers. */
+export const machinePartition =
   (fromS: number, toS: number, count: number): Fault =>
-  (day) => {
-    day.at(fromS, () => {
-      for (const host of firstRunningHosts(day, count))
-        for (const member of day.members) day.network.cut(host, member);
+  (deployment) => {
+    deployment.at(fromS, () => {
+      for (const host of listFirstRunningHosts(deployment, count))
+        for (const member of deployment.members) deployment.network.partition(host, member);
     });
-    day.at(toS, () => day.network.heal());
+    deployment.at(toS, () => deployment.network.heal());
   };
 
-/** Answers and commands don't reach the first machines, what they send arrives. */
-export const machinesDeaf =
+/** The first running machines receive neither responses nor commands, while their own messages arrive. */
+export const machinesLoseInbound =
   (fromS: number, toS: number, count: number): Fault =>
-  (day) => {
-    day.at(fromS, () => firstRunningHosts(day, count).forEach((host) => day.network.deafen(host)));
-    day.at(toS, () => day.network.heal());
+  (deployment) => {
+    deployment.at(fromS, () =>
+      listFirstRunningHosts(deployment, count).forEach((host) => deployment.network.dropInbound(host)),
+    );
+    deployment.at(toS, () => deployment.network.heal());
   };
 
-/** The first machines reach nobody by themselves, while commands reach them. */
-export const machinesSilent =
+/** The requests of the first running machines are lost, while commands reach the machines and are answered. */
+export const machinesLoseOwnRequests =
   (fromS: number, toS: number, count: number): Fault =>
-  (day) => {
-    day.at(fromS, () => firstRunningHosts(day, count).forEach((host) => day.network.silence(host)));
-    day.at(toS, () => day.network.heal());
+  (deployment) => {
+    deployment.at(fromS, () =>
+      listFirstRunningHosts(deployment, count).forEach((host) => deployment.network.dropOwnRequests(host)),
+    );
+    deployment.at(toS, () => deployment.network.heal());
   };
 
-/** The first machines hang, and go on. */
+/** The first running machines hang and later run on. */
 export const machinesHang =
   (fromS: number, toS: number, count: number): Fault =>
-  (day) =>
-    day.at(fromS, () => {
-      const workers = firstRunningHosts(day, count).map((host) => day.cloud.hosts.get(host)!.worker!);
+  (deployment) =>
+    deployment.at(fromS, () => {
+      const workers = listFirstRunningHosts(deployment, count).map(
+        (host) => deployment.cloud.hosts.get(host)!.worker!,
+      );
       for (const worker of workers) worker.hanging = true;
-      day.at(toS, () => {
+      deployment.at(toS, () => {
         for (const worker of workers) worker.hanging = false;
       });
     });
 
-/** The first machines are gone with all that is on them. */
+/** The first running machines are terminated, and everything that runs on them. */
 export const machinesLost =
   (atS: number, count: number): Fault =>
-  (day) =>
-    day.at(atS, () => firstRunningHosts(day, count).forEach((host) => day.cloud.take(host)));
+  (deployment) =>
+    deployment.at(atS, () =>
+      listFirstRunningHosts(deployment, count).forEach((host) => deployment.cloud.take(host)),
+    );
 
-/** The cloud takes all spot machines back. */
-export const spotWave =
+/** The cloud reclaims all spot machines. */
+export const spotReclaim =
   (atS: number): Fault =>
-  (day) =>
-    day.at(atS, () => {
-      const spot = [...day.cloud.hosts.values()].filter((host) => host.spot);
-      for (const { name } of spot) day.cloud.take(name);
+  (deployment) =>
+    deployment.at(atS, () => {
+      const spot = [...deployment.cloud.hosts.values()].filter((host) => host.spot);
+      for (const { name } of spot) deployment.cloud.take(name);
     });
 
-/** The first machines restart at once, their workers count from 1 again. */
+/** The first running machines restart without delay, and their workers count from the start again. */
 export const machinesRestart =
   (atS: number, count: number): Fault =>
-  (day) =>
-    day.at(atS, () => {
-      for (const host of firstRunningHosts(day, count)) day.cloud.hosts.get(host)?.worker?.beginAnew();
+  (deployment) =>
+    deployment.at(atS, () => {
+      for (const host of listFirstRunningHosts(deployment, count))
+        deployment.cloud.hosts.get(host)?.worker?.restart();
     });
 
-/** Copies of what all present machines send arrive again, late. */
-export const lateCopies =
-  (atS: number, leastMs: number, spreadMs: number): Fault =>
-  (day) =>
-    day.at(atS, () => {
-      for (const host of day.cloud.hosts.keys())
-        day.network.copyLate(host, () => leastMs + day.random() * spreadMs);
+/** Every request of the present machines arrives a second time, late. */
+export const lateDuplicates =
+  (atS: number, minimumMs: number, spreadMs: number): Fault =>
+  (deployment) =>
+    deployment.at(atS, () => {
+      for (const host of deployment.cloud.hosts.keys())
+        deployment.network.duplicateRequests(host, () => minimumMs + deployment.random() * spreadMs);
     });
 
-/** The cloud answers nobody. */
+/** The cloud refuses all requests. */
 export const cloudOutage =
   (fromS: number, toS: number): Fault =>
-  (day) => {
-    day.at(fromS, () => (day.cloud.down = true));
-    day.at(toS, () => (day.cloud.down = false));
+  (deployment) => {
+    deployment.at(fromS, () => (deployment.cloud.down = true));
+    deployment.at(toS, () => (deployment.cloud.down = false));
   };
 
-/** The cloud has fewer machines to give. */
+/** The cloud has only `capacity` machines. */
 export const cloudShortage =
   (fromS: number, toS: number, capacity: number): Fault =>
-  (day) => {
-    const full = day.cloud.capacity;
-    day.at(fromS, () => (day.cloud.capacity = capacity));
-    day.at(toS, () => (day.cloud.capacity = full));
+  (deployment) => {
+    const fullCapacity = deployment.cloud.capacity;
+    deployment.at(fromS, () => (deployment.cloud.capacity = capacity));
+    deployment.at(toS, () => (deployment.cloud.capacity = fullCapacity));
   };
 
-/** Whoever leads then stands still for a while. */
+/** The controller that leads at that time pauses for a while. */
 export const leaderPaused =
-  (atS: number, forMs: number): Fault =>
-  (day) =>
-    day.at(atS, () => day.freeze(leaderOf(day), forMs));
+  (atS: number, durationMs: number): Fault =>
+  (deployment) =>
+    deployment.at(atS, () => deployment.freeze(getLeader(deployment), durationMs));
 
-/** Whoever holds a role then stands still for a while. */
+/** The controller that holds a role at that time pauses for a while. */
 export const roleHolderPaused =
-  (atS: number, role: string, forMs: number): Fault =>
-  (day) =>
-    day.at(atS, () => {
-      const lease = day.state.peek(`ph/duty-holder/${role}`) as { member: string } | undefined;
-      day.freeze(lease?.member ?? day.members[0]!, forMs);
+  (atS: number, role: string, durationMs: number): Fault =>
+  (deployment) =>
+    deployment.at(atS, () => {
+      const lease = deployment.state.peek(`ph/duty-holder/${role}`) as { member: string } | undefined;
+      deployment.freeze(lease?.member ?? deployment.members[0]!, durationMs);
     });
 
-/** All controllers but the leader speak as a former version does. */
+/** All controllers except the leader send only what a former version sends. */
 export const peersOfFormerVersion =
   (atS: number): Fault =>
-  (day) =>
-    day.at(atS, () => otherMembers(day, leaderOf(day)).forEach((member) => day.peers.former.add(member)));
+  (deployment) =>
+    deployment.at(atS, () =>
+      otherMembers(deployment, getLeader(deployment)).forEach((member) =>
+        deployment.peers.former.add(member),
+      ),
+    );
 
-/** Long jobs, each cancelled by its user at its second. */
+/** Users submit long jobs and cancel each at one of the given seconds. */
 export const cancellations =
   (times: number[], fields: Partial<SimJob> = {}): Fault =>
-  (day) =>
+  (deployment) =>
     times.forEach((atS, i) =>
-      day.at(4 + i * 0.4, () => {
-        const job = day.submit({ tasks: 2, cpus: 1, runS: 300, ...fields });
-        day.at(atS, () => void day.cancel(job.uid));
+      deployment.at(4 + i * 0.4, () => {
+        const job = deployment.submit({ tasks: 2, cpus: 1, runS: 300, ...fields });
+        deployment.at(atS, () => void deployment.cancel(job.uid));
       }),
     );
 
-/** Users repeat submissions, cancel jobs that are done, ask at all controllers, and send what is malformed. */
-export const oddRequests =
+/** Users repeat submissions, cancel finished jobs, poll at all controllers, and send malformed requests. */
+export const irregularRequests =
   (fromS: number, count: number): Fault =>
-  (day) => {
+  (deployment) => {
     for (let i = 0; i < count; i++)
-      day.at(fromS + i * 3, () => {
-        for (const seen of [...day.rules.jobs.values()].slice(0, 8)) {
-          if (!seen.accepted) continue;
-          if (seen.told === 'open') void day.repeat(seen.job);
-          else if (seen.told === 'done') void day.cancel(seen.job.uid);
-          for (const member of day.members) void day.askOne(member, 'GET', `/submissions/${seen.job.uid}`);
+      deployment.at(fromS + i * 3, () => {
+        for (const tracked of [...deployment.rules.jobs.values()].slice(0, 8)) {
+          if (!tracked.accepted) continue;
+          if (tracked.told === 'open') void deployment.resubmit(tracked.job);
+          else if (tracked.told === 'done') void deployment.cancel(tracked.job.uid);
+          for (const member of deployment.members)
+            void deployment.askOne(member, 'GET', `/submissions/${tracked.job.uid}`);
         }
-        const member = day.members[i % day.members.length]!;
-        void day.askOne(member, 'POST', '/submissions', { uid: 'job-900001', crew: 'red' });
-        void day.askOne(member, 'POST', '/submissions', day.wireOf({ uid: 'job-900002', team: 'green' }));
-        void day.askOne(member, 'GET', '/submissions/job-900009');
-        void day.askOne(member, 'GET', '/healthz');
-        void day.askOne(member, 'PUT', '/nowhere');
-        void day.askOne(member, 'POST', '/v1/report', { hearth: 7 });
+        const member = deployment.members[i % deployment.members.length]!;
+        void deployment.askOne(member, 'POST', '/submissions', { uid: 'job-900001', crew: 'red' });
+        void deployment.askOne(
+          member,
+          'POST',
+          '/submissions',
+          deployment.wireOf({ uid: 'job-900002', team: 'green' }),
+        );
+        void deployment.askOne(member, 'GET', '/submissions/job-900009');
+        void deployment.askOne(member, 'GET', '/healthz');
+        void deployment.askOne(member, 'PUT', '/nowhere');
+        void deployment.askOne(member, 'POST', '/v1/report', { hearth: 7 });
       });
   };
--- a/scripts/behavior-trace/recorder.ts
+++ b/scripts/behavior-trace/recorder.ts
@@ -6,18 +6,18 @@
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import type { ObservedRequest, TrafficObserver } from '../../src/simulation/traffic-observer.js';
 
-/** Messages between two digests that a comparison can tell apart. */
+/** Number of messages between two checkpoints. A comparison locates a difference to within this many messages. */
 export const CHECKPOINT_MESSAGES = 256;
 
-/** Hexadecimal digits kept of a checkpoint: enough to tell that something changed, and where. */
+/** Hexadecimal digits kept of each checkpoint. They suffice to tell that something changed, and where. */
 const CHECKPOINT_DIGITS = 8;
 
-/** What remains of one run. */
+/** The digests of one run. */
 export interface Recording {
   /** SHA-256 over all lines. */
   readonly digest: string;
   readonly messages: number;
-  /** The digest after every CHECKPOINT_MESSAGES messages, shortened. */
+  /** Shortened digests, one after every CHECKPOINT_MESSAGES messages. */
   readonly checkpoints: readonly string[];
 }
 
@@ -29,7 +29,7 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Is given every line; it ends without a line break. */
+    /** Receives every recorded line, without a line break. */
     private readonly onLine: (line: string) => void = () => undefined,
   ) {}
 
@@ -53,7 +53,7 @@
     this.record(`peer ${from} > ${to} ${encodeFrame(encodePeerMessage(message)).toString('hex')}`);
   }
 
-  /** Ends the recording. */
+  /** Ends the recording and returns its digests. */
   finish(): Recording {
     return { digest: this.hash.digest('hex'), messages: this.messages, checkpoints: this.checkpoints };
   }
--- a/scripts/behavior-trace/scenarios.ts
+++ b/scripts/behavior-trace/scenarios.ts
@@ -1,27 +1,30 @@
-/** Scenarios of the behaviour trace. They are fixed: a change of one needs new digests of the sources before it. */
+/**
+ * Scenarios of the behaviour trace. They are fixed: to change one, first record its digests with the unchanged
+ * sources.
+ */
 import type { DayOptions } from '../../src/simulation/day.js';
 import * as fault from './faults.js';
-import { spreadOver } from './faults.js';
+import { spaceEvenly } from './faults.js';
 import * as workload from './workloads.js';
 
-/** A workload and the faults that meet it, played for a while. */
+/** A workload, and the faults that occur while it runs. */
 export interface Scenario {
   readonly name: string;
   readonly workload: workload.Workload;
   readonly faults: readonly fault.Fault[];
   readonly options?: Partial<DayOptions>;
-  /** Simulated seconds; lacking: DEFAULT_SECONDS. */
+  /** Duration in simulated seconds. Defaults to DEFAULT_SECONDS. */
   readonly seconds?: number;
 }
 
-/** Simulated seconds of a scenario that names none. */
+/** Duration in simulated seconds of a scenario that sets none. */
 export const DEFAULT_SECONDS = 160;
 
 const ALL_MEMBERS = ['c0', 'c1', 'c2'];
-const DUTIES_ON: Partial<DayOptions> = { duties: ALL_MEMBERS };
-const HUNDREDS: Partial<DayOptions> = { controllers: 7, machines: 320, scale: 60 };
+const ROLES_ENABLED: Partial<DayOptions> = { duties: ALL_MEMBERS };
+const HUNDREDS_OF_MACHINES: Partial<DayOptions> = { controllers: 7, machines: 320, scale: 60 };
 
-const CONTROLLER_FAULTS: Scenario[] = [
+const CONTROLLER_SCENARIOS: Scenario[] = [
   { name: 'no fault', workload: workload.mixedWorkload, faults: [] },
   {
     name: 'controllers crash one after the other',
@@ -31,7 +34,11 @@
   {
     name: 'all controllers crash, and again while they elect',
     workload: workload.mixedWorkload,
-    faults: [fault.allCrash(40, 300), fault.allCrash(46.5, 300), fault.allCrash(48.2, 100)],
+    faults: [
+      fault.allMembersCrash(40, 300),
+      fault.allMembersCrash(46.5, 300),
+      fault.allMembersCrash(48.2, 100),
+    ],
   },
   {
     name: 'controllers restart within a fraction of a second, in elections too',
@@ -40,16 +47,16 @@
       ...Array.from({ length: 12 }, (_, i) =>
         fault.memberCrash(40 + i * 3.1, ALL_MEMBERS[i % 3]!, 50 + i * 23),
       ),
-      fault.allCrash(90, 100),
-      fault.allCrash(91.7, 100),
-      fault.allCrash(93.5, 100),
+      fault.allMembersCrash(90, 100),
+      fault.allMembersCrash(91.7, 100),
+      fault.allMembersCrash(93.5, 100),
     ],
   },
   {
     name: 'ten leaders in two minutes, also inside an outage',
     workload: workload.mixedWorkload,
     faults: [
-      fault.cancellations(spreadOver(36, 120, 10)),
+      fault.cancellations(spaceEvenly(36, 120, 10)),
       ...Array.from({ length: 10 }, (_, i) => fault.leaderCrash(35 + i * 9, 400 + (i % 3) * 1500)),
       fault.storeOutage(84, 102),
     ],
@@ -62,9 +69,9 @@
   },
   {
     name: 'a paused leader meets an outage and an election',
-    workload: workload.longJobs,
+    workload: workload.longJobWorkload,
     faults: [
-      fault.allCrash(50, 100),
+      fault.allMembersCrash(50, 100),
       fault.leaderPaused(54, 3500),
       fault.storeOutage(70, 82),
       fault.leaderPaused(74, 4000),
@@ -73,7 +80,7 @@
   {
     name: 'all controllers away for longer than a lease',
     workload: workload.mixedWorkload,
-    faults: [fault.cancellations([38, 39, 62, 64]), fault.allCrash(40, 20_000)],
+    faults: [fault.cancellations([38, 39, 62, 64]), fault.allMembersCrash(40, 20_000)],
   },
   {
     name: 'leadership moves to a controller among the machines',
@@ -83,7 +90,7 @@
   },
   {
     name: 'seven controllers, three crash together',
-    workload: workload.longJobs,
+    workload: workload.longJobWorkload,
     faults: ALL_MEMBERS.map((member) => fault.memberCrash(45, member, 5000)),
     options: { controllers: 7 },
   },
@@ -95,7 +102,7 @@
   },
 ];
 
-const STORE_FAULTS: Scenario[] = [
+const STORE_SCENARIOS: Scenario[] = [
   {
     name: 'store outage longer than a lease, then a crash',
     workload: workload.mixedWorkload,
@@ -110,16 +117,16 @@
     name: 'the store refuses the leader, then everybody, with cancellations between',
     workload: workload.mixedWorkload,
     faults: [
-      fault.cancellations(spreadOver(50.1, 52, 12)),
+      fault.cancellations(spaceEvenly(50.1, 52, 12)),
       fault.storeRefusesLeader(50),
       fault.storeOutage(52, 104),
     ],
   },
   {
     name: 'the same with peers of a former version',
-    workload: workload.longJobs,
+    workload: workload.longJobWorkload,
     faults: [
-      fault.cancellations(spreadOver(50.1, 51, 8)),
+      fault.cancellations(spaceEvenly(50.1, 51, 8)),
       fault.peersOfFormerVersion(50),
       fault.storeRefusesLeader(50),
       fault.storeOutage(51, 110),
@@ -129,8 +136,8 @@
     name: 'late transactions, cancellations and crashes',
     workload: workload.mixedWorkload,
     faults: [
-      fault.lateTransactions(15, 85, 0.3),
-      fault.cancellations(spreadOver(20, 80, 8)),
+      fault.delayedTransactions(15, 85, 0.3),
+      fault.cancellations(spaceEvenly(20, 80, 8)),
       fault.leaderCrash(45, 300),
       fault.leaderCrash(70, 4000),
     ],
@@ -138,13 +145,17 @@
   {
     name: 'nearly all transactions late',
     workload: workload.mixedWorkload,
-    faults: [fault.lateTransactions(25, 45, 0.8), fault.allCrash(30, 200), fault.machinesLost(33, 3)],
+    faults: [
+      fault.delayedTransactions(25, 45, 0.8),
+      fault.allMembersCrash(30, 200),
+      fault.machinesLost(33, 3),
+    ],
   },
   {
     name: 'slow store, then refusals',
     workload: workload.mixedWorkload,
     faults: [
-      fault.cancellations(spreadOver(38, 62, 12)),
+      fault.cancellations(spaceEvenly(38, 62, 12)),
       fault.slowStore(36, 55, 200, 1200),
       fault.storeRefusesLeader(55),
       fault.storeOutage(57, 97),
@@ -152,52 +163,52 @@
   },
   {
     name: 'announced lower limits',
-    workload: workload.dependentJobs,
+    workload: workload.dependentJobWorkload,
     faults: [fault.leaderCrash(50, 1000)],
     options: { next: { valueBytes: 2048, txnOps: 6 } },
   },
   {
     name: 'controllers cut from each other in an outage',
     workload: workload.mixedWorkload,
-    faults: [fault.storeOutage(45, 58), fault.membersCut(50, 90, 'c0', ['c1', 'c2'])],
+    faults: [fault.storeOutage(45, 58), fault.memberPartition(50, 90, 'c0', ['c1', 'c2'])],
   },
 ];
 
-const NETWORK_FAULTS: Scenario[] = [
+const NETWORK_SCENARIOS: Scenario[] = [
   {
     name: 'zones cut twice, with a cancellation and a crash',
     workload: workload.mixedWorkload,
     faults: [
-      fault.zoneCut(45, 85),
+      fault.zonePartition(45, 85),
       fault.cancellations([52, 60]),
       fault.memberCrash(70, 'c2', 3000),
-      fault.zoneCut(110, 140),
+      fault.zonePartition(110, 140),
     ],
   },
   {
     name: 'a zone cut for longer than a lease',
-    workload: workload.longJobs,
+    workload: workload.longJobWorkload,
     faults: [
-      fault.cancellations(spreadOver(42, 70, 8)),
-      fault.zoneCut(41, 80),
+      fault.cancellations(spaceEvenly(42, 70, 8)),
+      fault.zonePartition(41, 80),
       fault.memberCrash(55, 'c1', 1000),
     ],
   },
   {
     name: 'the leader keeps only its workers and users',
-    workload: workload.longJobs,
-    faults: [fault.cancellations(spreadOver(41, 75, 10)), fault.leaderIsolated(40, 80)],
+    workload: workload.longJobWorkload,
+    faults: [fault.cancellations(spaceEvenly(41, 75, 10)), fault.leaderIsolated(40, 80)],
   },
   {
     name: 'machines cut from all controllers',
     workload: workload.mixedWorkload,
-    faults: [fault.machinesCut(45, 80, 4)],
+    faults: [fault.machinePartition(45, 80, 4)],
   },
   {
     name: 'deaf machines, a crash and a cancellation',
     workload: workload.mixedWorkload,
     faults: [
-      fault.machinesDeaf(45, 90, 4),
+      fault.machinesLoseInbound(45, 90, 4),
       fault.cancellations([55]),
       fault.memberCrash(56, 'c1', 3000),
       fault.memberCrash(80, 'c0', 300),
@@ -206,24 +217,28 @@
   {
     name: 'deaf machines while the cloud is out',
     workload: workload.mixedWorkload,
-    faults: [fault.cloudOutage(45, 85), fault.machinesDeaf(46, 95, 5), fault.memberCrash(60, 'c2', 2000)],
+    faults: [
+      fault.cloudOutage(45, 85),
+      fault.machinesLoseInbound(46, 95, 5),
+      fault.memberCrash(60, 'c2', 2000),
+    ],
   },
   {
     name: 'silent machines that hear commands',
-    workload: workload.longJobs,
+    workload: workload.longJobWorkload,
     faults: [
-      fault.cancellations(spreadOver(44, 60, 8)),
-      fault.machinesSilent(40, 90, 6),
+      fault.cancellations(spaceEvenly(44, 60, 8)),
+      fault.machinesLoseOwnRequests(40, 90, 6),
       fault.leaderCrash(52, 2000),
     ],
   },
   {
     name: 'a leader ends while machines are cut off or deaf',
-    workload: workload.longJobs,
+    workload: workload.longJobWorkload,
     faults: [
       fault.cancellations([46, 47, 60], { runS: 120 }),
-      fault.machinesCut(40, 75, 4),
-      fault.machinesDeaf(42, 75, 8),
+      fault.machinePartition(40, 75, 4),
+      fault.machinesLoseInbound(42, 75, 8),
       fault.leaderCrash(44, 5000),
     ],
   },
@@ -231,15 +246,15 @@
     name: 'late copies over crashes, an outage and a cut',
     workload: workload.mixedWorkload,
     faults: [
-      ...[8, 20, 40, 60, 80].map((atS) => fault.lateCopies(atS, 2000, 40_000)),
+      ...[8, 20, 40, 60, 80].map((atS) => fault.lateDuplicates(atS, 2000, 40_000)),
       ...ALL_MEMBERS.map((member, i) => fault.memberCrash(50 + i * 12, member, 200)),
       fault.storeOutage(90, 100),
-      fault.zoneCut(110, 125),
+      fault.zonePartition(110, 125),
     ],
   },
 ];
 
-const MACHINE_FAULTS: Scenario[] = [
+const MACHINE_SCENARIOS: Scenario[] = [
   {
     name: 'machines hang within and beyond their lease',
     workload: workload.mixedWorkload,
@@ -249,7 +264,7 @@
     name: 'cancelled while machines hang and the leader is refused',
     workload: workload.mixedWorkload,
     faults: [
-      fault.cancellations(spreadOver(50, 50.2, 10)),
+      fault.cancellations(spaceEvenly(50, 50.2, 10)),
       fault.storeRefusesLeader(50),
       fault.machinesHang(50.1, 59, 6),
       fault.storeOutage(51, 95),
@@ -259,7 +274,7 @@
     name: 'machines restart with new counters, late copies',
     workload: workload.mixedWorkload,
     faults: [
-      fault.lateCopies(10, 2000, 20_000),
+      fault.lateDuplicates(10, 2000, 20_000),
       ...[45, 60, 75].map((atS) => fault.machinesRestart(atS, 2)),
       fault.memberCrash(62, 'c0', 200),
     ],
@@ -271,22 +286,22 @@
   },
   {
     name: 'zoned jobs lose machines',
-    workload: workload.zonedJobs,
+    workload: workload.zonedJobWorkload,
     faults: [...[30, 42, 54].map((atS) => fault.machinesLost(atS, 3)), fault.leaderCrash(42.5, 1000)],
   },
   {
     name: 'spot waves',
     workload: workload.mixedWorkload,
-    faults: [40, 65, 90].map((atS) => fault.spotWave(atS)),
+    faults: [40, 65, 90].map((atS) => fault.spotReclaim(atS)),
   },
   {
     name: 'a spot wave meets a change of leader and a shortage',
-    workload: workload.overload,
-    faults: [fault.spotWave(45), fault.leaderCrash(45.3, 1500), fault.cloudShortage(44, 90, 6)],
+    workload: workload.overloadWorkload,
+    faults: [fault.spotReclaim(45), fault.leaderCrash(45.3, 1500), fault.cloudShortage(44, 90, 6)],
   },
   {
     name: 'the cloud has fewer machines',
-    workload: workload.overload,
+    workload: workload.overloadWorkload,
     faults: [fault.cloudShortage(20, 100, 5)],
   },
   {
@@ -300,90 +315,94 @@
   },
 ];
 
-const WORK: Scenario[] = [
-  { name: 'dependent jobs', workload: workload.dependentJobs, faults: [] },
+const WORKLOAD_SCENARIOS: Scenario[] = [
+  { name: 'dependent jobs', workload: workload.dependentJobWorkload, faults: [] },
   {
     name: 'dependent jobs over crashes and an outage',
-    workload: workload.dependentJobs,
+    workload: workload.dependentJobWorkload,
     faults: [fault.leaderCrash(30, 500), fault.storeOutage(45, 60), fault.leaderCrash(70, 3000)],
   },
   {
     name: 'overload over changes of leader',
-    workload: workload.overload,
+    workload: workload.overloadWorkload,
     faults: [
       fault.leaderCrash(35, 1500),
       fault.leaderCrash(50, 1500),
-      fault.cancellations(spreadOver(40, 60, 4)),
+      fault.cancellations(spaceEvenly(40, 60, 4)),
     ],
   },
   {
     name: 'short jobs, a quarter cancelled',
-    workload: workload.shortJobs,
+    workload: workload.shortJobWorkload,
     faults: [fault.leaderCrash(30, 800)],
     seconds: 110,
   },
   {
     name: 'odd requests while a leader changes',
     workload: workload.mixedWorkload,
-    faults: [fault.oddRequests(20, 20), fault.leaderCrash(45, 2000)],
+    faults: [fault.irregularRequests(20, 20), fault.leaderCrash(45, 2000)],
   },
   {
     name: 'a team at its limit, machines cut off, a cancellation',
-    workload: workload.longJobs,
+    workload: workload.longJobWorkload,
     faults: [
       fault.cancellations([47], { team: 'red', tasks: 12, cpus: 2 }),
-      fault.machinesCut(44, 75, 5),
+      fault.machinePartition(44, 75, 5),
       fault.leaderCrash(45, 3000),
       fault.leaderCrash(58, 3000),
     ],
   },
   {
     name: 'hundreds of machines, a hundred die, the leader changes',
-    workload: workload.largeArrays,
-    faults: [fault.machinesLost(40, 60), fault.machinesHang(40, 47, 30), fault.allCrash(43, 3000, 200)],
-    options: HUNDREDS,
+    workload: workload.largeArrayWorkload,
+    faults: [
+      fault.machinesLost(40, 60),
+      fault.machinesHang(40, 47, 30),
+      fault.allMembersCrash(43, 3000, 200),
+    ],
+    options: HUNDREDS_OF_MACHINES,
     seconds: 90,
   },
   {
     name: 'hundreds of machines, a zone cut and an outage',
-    workload: workload.largeArrays,
-    faults: [fault.zoneCut(30, 38), fault.storeOutage(45, 60)],
-    options: HUNDREDS,
+    workload: workload.largeArrayWorkload,
+    faults: [fault.zonePartition(30, 38), fault.storeOutage(45, 60)],
+    options: HUNDREDS_OF_MACHINES,
     seconds: 90,
   },
 ];
 
-const DUTIES: Scenario[] = [
-  { name: 'duties on, no fault', workload: workload.mixedWorkload, faults: [], options: DUTIES_ON },
+const LEASED_ROLE_SCENARIOS: Scenario[] = [
+  { name: 'duties on, no fault', workload: workload.mixedWorkload, faults: [], options: ROLES_ENABLED },
   {
     name: 'duties on, role holders stand still',
     workload: workload.mixedWorkload,
     faults: [25, 45, 65, 85].map((atS) => fault.roleHolderPaused(atS, 'rent', 9000)),
-    options: DUTIES_ON,
+    options: ROLES_ENABLED,
   },
   {
     name: 'duties on, leaders end',
     workload: workload.mixedWorkload,
     faults: [30, 60, 90].map((atS) => fault.leaderCrash(atS, 3000)),
-    options: DUTIES_ON,
+    options: ROLES_ENABLED,
   },
   {
     name: 'duties on, all controllers end and again while they elect',
     workload: workload.mixedWorkload,
-    faults: [fault.allCrash(40, 300), fault.allCrash(46.5, 300)],
-    options: DUTIES_ON,
+    faults: [fault.allMembersCrash(40, 300), fault.allMembersCrash(46.5, 300)],
+    options: ROLES_ENABLED,
   },
   {
     name: 'duties on, store and cloud outages',
     workload: workload.mixedWorkload,
     faults: [fault.storeOutage(40, 58), fault.cloudOutage(70, 95)],
-    options: DUTIES_ON,
+    options: ROLES_ENABLED,
   },
   {
     name: 'duties on, late transactions and machines lost',
-    workload: workload.overload,
-    faults: [fault.lateTransactions(20, 90, 0.3), fault.machinesLost(50, 4), fault.spotWave(70)],
-    options: DUTIES_ON,
+    workload: workload.overloadWorkload,
+    faults: [fault.delayedTransactions(20, 90, 0.3), fault.machinesLost(50, 4), fault.spotReclaim(70)],
+    options: ROLES_ENABLED,
   },
   {
     name: 'duties on at two of three',
@@ -392,18 +411,18 @@
       fault.memberCrash(14, 'c0', 9000),
       fault.memberCrash(14, 'c1', 9000),
       fault.memberCrash(70, 'c2', 5000),
-      fault.allCrash(100, 9000, 500),
+      fault.allMembersCrash(100, 9000, 500),
     ],
     options: { duties: ['c0', 'c1'] },
   },
 ];
 
-/** All scenarios, in the order in which they are played. */
+/** All scenarios, in the order in which they run. */
 export const SCENARIOS: readonly Scenario[] = [
-  ...CONTROLLER_FAULTS,
-  ...STORE_FAULTS,
-  ...NETWORK_FAULTS,
-  ...MACHINE_FAULTS,
-  ...WORK,
-  ...DUTIES,
+  ...CONTROLLER_SCENARIOS,
+  ...STORE_SCENARIOS,
+  ...NETWORK_SCENARIOS,
+  ...MACHINE_SCENARIOS,
+  ...WORKLOAD_SCENARIOS,
+  ...LEASED_ROLE_SCENARIOS,
 ];
--- a/scripts/behavior-trace/workloads.ts
+++ b/scripts/behavior-trace/workloads.ts
@@ -1,15 +1,17 @@
 /** Workloads of the behaviour trace. */
 import type { SimDay } from '../../src/simulation/day.js';
 
-/** Jobs that users submit; called once, before the clock runs. */
-export type Workload = (day: SimDay) => void;
+/** Schedules the submissions of users. Called once, before the clock of the deployment runs. */
+export type Workload = (deployment: SimDay) => void;
 
-/** A service and arrays of every size, some urgent, some on spot machines, one cancelled. */
-export const mixedWorkload: Workload = (day) => {
-  day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
+/**
+ * A service and arrays of different sizes. Some have a deadline, some may run on spot machines, and one is cancelled.
+ */
+export const mixedWorkload: Workload = (deployment) => {
+  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
   for (let i = 0; i < 14; i++)
-    day.at(4 + i * 8, () =>
-      day.submit({
+    deployment.at(4 + i * 8, () =>
+      deployment.submit({
         team: i % 3 === 0 ? 'red' : 'blue',
         tasks: 1 + ((i * 3) % 7),
         runS: 8 + ((i * 7) % 30),
@@ -17,59 +19,64 @@
         dueS: i % 3 ? 60 : null,
       }),
     );
-  day.at(20, () => day.submit({ team: 'red', tasks: 6, runS: 60 }, 15));
+  deployment.at(20, () => deployment.submit({ team: 'red', tasks: 6, runS: 60 }, 15));
 };
 
-/** One-task jobs, many a second. */
-export const shortJobs: Workload = (day) => {
+/** Many short jobs of one task each, two per second. */
+export const shortJobWorkload: Workload = (deployment) => {
   for (let i = 0; i < 120; i++)
-    day.at(5 + i * 0.5, () => day.submit({ tasks: 1, cpus: 1, runS: 4 }, i % 4 === 0 ? 6 : undefined));
+    deployment.at(5 + i * 0.5, () =>
+      deployment.submit({ tasks: 1, cpus: 1, runS: 4 }, i % 4 === 0 ? 6 : undefined),
+    );
 };
 
-/** Chains of jobs that wait for each other, a fan-in, and a chain whose first job is cancelled. */
-export const dependentJobs: Workload = (day) => {
-  mixedWorkload(day);
+/** Chains of dependent jobs with a fan-out and a fan-in. The first job of one chain is cancelled. */
+export const dependentJobWorkload: Workload = (deployment) => {
+  mixedWorkload(deployment);
   for (let chain = 0; chain < 4; chain++)
-    day.at(6 + chain * 10, () => {
-      const first = day.submit({ tasks: 3, runS: 12 }, chain === 3 ? 8 : undefined);
-      const second = day.submit({ tasks: 4, runS: 10, dependencies: [first.uid] });
-      const third = day.submit({ tasks: 2, runS: 8, dependencies: [first.uid] });
-      day.submit({ tasks: 1, runS: 5, dueS: 90, dependencies: [second.uid, third.uid] });
+    deployment.at(6 + chain * 10, () => {
+      const first = deployment.submit({ tasks: 3, runS: 12 }, chain === 3 ? 8 : undefined);
+      const second = deployment.submit({ tasks: 4, runS: 10, dependencies: [first.uid] });
+      const third = deployment.submit({ tasks: 2, runS: 8, dependencies: [first.uid] });
+      deployment.submit({ tasks: 1, runS: 5, dueS: 90, dependencies: [second.uid, third.uid] });
     });
 };
 
-/** Jobs bound to a zone or to one zone, services spread over zones. */
-export const zonedJobs: Workload = (day) => {
-  mixedWorkload(day);
-  day.at(10, () => day.submit({ tasks: 6, runS: 40, oneZone: true }));
-  day.at(12, () => day.submit({ tasks: 6, runS: 40, zone: 'west' }));
-  day.at(14, () => day.submit({ kind: 'service', team: 'red', tasks: 2, oneZone: true }));
-  day.at(16, () => day.submit({ kind: 'service', team: 'blue', tasks: 5, scatter: true, zone: null }));
+/** Jobs bound to a given zone or to any single zone, and services spread over zones. */
+export const zonedJobWorkload: Workload = (deployment) => {
+  mixedWorkload(deployment);
+  deployment.at(10, () => deployment.submit({ tasks: 6, runS: 40, oneZone: true }));
+  deployment.at(12, () => deployment.submit({ tasks: 6, runS: 40, zone: 'west' }));
+  deployment.at(14, () => deployment.submit({ kind: 'service', team: 'red', tasks: 2, oneZone: true }));
+  deployment.at(16, () =>
+    deployment.submit({ kind: 'service', team: 'blue', tasks: 5, scatter: true, zone: null }),
+  );
 };
 
-/** More work than the teams' limits and the machines allow, urgent and not. */
-export const overload: Workload = (day) => {
-  mixedWorkload(day);
+/** More work than the teams' limits and the machines allow, with and without deadlines. */
+export const overloadWorkload: Workload = (deployment) => {
+  mixedWorkload(deployment);
   for (let i = 0; i < 6; i++)
-    day.at(8 + i * 5, () => day.submit({ tasks: 14, runS: 15, dueS: i % 2 ? 50 : null }));
-  for (let i = 0; i < 4; i++) day.at(22 + i * 10, () => day.submit({ kind: 'service', tasks: 3 }));
+    deployment.at(8 + i * 5, () => deployment.submit({ tasks: 14, runS: 15, dueS: i % 2 ? 50 : null }));
+  for (let i = 0; i < 4; i++)
+    deployment.at(22 + i * 10, () => deployment.submit({ kind: 'service', tasks: 3 }));
 };
 
 /** Long jobs that keep the machines busy. */
-export const longJobs: Workload = (day) => {
-  mixedWorkload(day);
-  day.at(6, () => day.submit({ tasks: 16, cpus: 1, runS: 90 }));
-  day.at(8, () => day.submit({ team: 'red', tasks: 12, cpus: 2, runS: 25 }));
+export const longJobWorkload: Workload = (deployment) => {
+  mixedWorkload(deployment);
+  deployment.at(6, () => deployment.submit({ tasks: 16, cpus: 1, runS: 90 }));
+  deployment.at(8, () => deployment.submit({ team: 'red', tasks: 12, cpus: 2, runS: 25 }));
 };
 
 /** Large arrays and services, for hundreds of machines. */
-export const largeArrays: Workload = (day) => {
+export const largeArrayWorkload: Workload = (deployment) => {
   for (let i = 0; i < 4; i++)
-    day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 9, scatter: true }));
+    deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 9, scatter: true }));
   for (const [atS, tasks] of [
     [5, 420],
     [20, 300],
     [35, 200],
   ] as const)
-    day.at(atS, () => day.submit({ tasks, runS: 20, dueS: 80, spot: atS !== 20 }));
+    deployment.at(atS, () => deployment.submit({ tasks, runS: 20, dueS: 80, spot: atS !== 20 }));
 };
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,7 +1,8 @@
-// Builds target/: a controller has a few hundredths of a core, so all that a start can do without is done here.
-// - The program and its libraries become one file: resolving and reading some hundred modules costs more than running.
+// Builds target/. A controller has only a few hundredths of a core, so work is moved from the start to the build:
+// - The program and its libraries are bundled into one file, because resolving and reading some hundred modules costs
+//   more than running them.
 // - The validators of the settings are generated (src/schema-validators.ts says why).
-// - V8's compiled code of the program is kept beside it, for src/launcher.cjs.
+// - The compiled code of the program, as V8 caches it, is stored next to the bundle for src/launcher.cjs.
 import { spawnSync } from 'node:child_process';
 import { copyFileSync, readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -13,8 +14,8 @@
 
 const readJson = (file) => JSON.parse(readFileSync(file, 'utf8'));
 
-/** Code of the validators, as ajv generates it; `AJV_OPTIONS` are those of src/schema-options.ts. */
-function validatorsCode(ajvOptions) {
+/** Generates the code of the validators with the `AJV_OPTIONS` of src/schema-options.ts. */
+function generateValidatorCode(ajvOptions) {
   const ajv = new Ajv({ ...ajvOptions, code: { source: true, esm: true } });
   ajv.addSchema(readJson('schema/platform.schema.json'), 'platform');
   ajv.addSchema(readJson('schema/operator.schema.json'), 'operator');
@@ -34,9 +35,9 @@
 const ajvOptions = await readAjvOptions();
 const generatedValidators = {
   name: 'generated-validators',
-  setup(plugins) {
-    plugins.onLoad({ filter: /[\\/]schema-validators\.ts$/ }, () => ({
-      contents: validatorsCode(ajvOptions),
+  setup(pluginBuild) {
+    pluginBuild.onLoad({ filter: /[\\/]schema-validators\.ts$/ }, () => ({
+      contents: generateValidatorCode(ajvOptions),
       loader: 'js',
       resolveDir: process.cwd(),
     }));
@@ -52,7 +53,7 @@
   format: 'cjs',
   minifySyntax: true,
   legalComments: 'none',
-  // Looking for msgpackr's native part costs a start more than that part ever saves.
+  // Searching for msgpackr's native addon at each start costs more than the addon ever saves.
   define: { 'process.env.MSGPACKR_NATIVE_ACCELERATION_DISABLED': '"true"' },
   external: ['msgpackr-extract'],
   plugins: [generatedValidators],
@@ -60,7 +61,7 @@
 });
 copyFileSync('src/launcher.cjs', 'target/main.cjs');
 
-// V8 takes compiled code only from a process with the same flags: those with which the deploy file starts a controller.
+// V8 accepts a code cache only from a process with the same flags, so these are the flags of the deploy file.
 const runCommand = parse(readFileSync('deploy/service.toml', 'utf8')).run.split(' ');
 const flags = runCommand.slice(1, runCommand.indexOf('target/main.cjs'));
 const { status, stderr } = spawnSync(process.execPath, [...flags, 'target/main.cjs', '--help'], {
--- a/scripts/duties/interleavings.sh
+++ b/scripts/duties/interleavings.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Thousands of interleavings of duties, over several processes with seeds of their own. Usage: interleavings.sh [runs] [processes]
+# Runs test/duties/interleavings.test.ts in several processes, each with its own seed.
+# Usage: interleavings.sh [runs per process] [processes]
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 runs=${1:-1000}
--- a/scripts/profile/hook.cjs
+++ b/scripts/profile/hook.cjs
@@ -1,4 +1,4 @@
-// Loaded into a profiled controller: at its end it writes how its memory was used, and lets node write the profile.
+// Loaded into a profiled controller. On SIGTERM it writes the memory usage, and exits so that node writes the profile.
 const { writeFileSync } = require('node:fs');
 const { getHeapSpaceStatistics } = require('node:v8');
 
--- a/scripts/profile/load.ts
+++ b/scripts/profile/load.ts
@@ -1,6 +1,6 @@
 /**
- * Runs real controllers on loopback under the load of a deployment, each with node's own CPU profiler, against the
- * stand-ins of the state service, the cloud and the workers. `report.ts` makes tables of what it leaves behind.
+ * Runs real controllers on loopback under the load of a deployment, each with node's CPU profiler, against a
+ * simulated state service, cloud and workers. `report.mjs` prints tables of the profiles that it writes.
  */
 import { join } from 'node:path';
 import { Command } from 'commander';
@@ -11,6 +11,7 @@
 
 const TIMING = { reportS: 2.5, leaseS: 15, cancelS: 40, bootS: 5 };
 
+/** Options of the command line. */
 interface Options {
   controllers: string;
   machines: string;
@@ -25,7 +26,7 @@
 async function run(options: Options): Promise<void> {
   const machines = Number(options.machines);
   const { out } = options;
-  const hook = join(import.meta.dirname, 'hook.cjs');
+  const hookFile = join(import.meta.dirname, 'hook.cjs');
   const cluster = new LoopbackCluster({
     controllers: Number(options.controllers),
     machines,
@@ -38,7 +39,7 @@
       `--cpu-prof-name=${member}.cpuprofile`,
       '--cpu-prof-interval=250',
       '--require',
-      hook,
+      hookFile,
     ],
     environment: (member) => ({ PROFILE_MEMORY_FILE: join(out, `${member}.memory.json`) }),
   });
@@ -48,23 +49,23 @@
   systemClock.after(4000, () => {
     for (let i = 0; i < 8; i++) users.submit('service', 8, 0);
     for (let i = 0; i < machines / 12; i++) users.submit('array', 20, 50);
-    const next = (): void => {
+    const submitNext = (): void => {
       users.submit('array', 20, 50);
-      systemClock.after((1000 / Number(options.jobsPerSecond)) * 2 * random(), next);
+      systemClock.after((1000 / Number(options.jobsPerSecond)) * 2 * random(), submitNext);
     };
-    next();
+    submitNext();
   });
   await new Promise<void>((resolve) => systemClock.after(Number(options.seconds) * 1000, resolve));
-  process.stdout.write(`${cluster.cloud.hosts.size} machines, ${cluster.rules.started} starts\n`);
+  process.stdout.write(`${cluster.cloud.hosts.size} machines, ${cluster.rules.startCount} task starts\n`);
   await cluster.stop('SIGTERM');
   process.exit(0);
 }
 
 await new Command('load')
-  .option('--controllers <n>', 'controllers', '3')
-  .option('--machines <n>', 'machines that the cloud has', '300')
-  .option('--seconds <n>', 'length of the run', '60')
-  .option('--jobs-per-second <n>', 'arrays submitted a second', '0.15')
+  .option('--controllers <n>', 'number of controllers', '3')
+  .option('--machines <n>', 'number of machines that the cloud has', '300')
+  .option('--seconds <n>', 'duration of the run in seconds', '60')
+  .option('--jobs-per-second <n>', 'arrays submitted per second', '0.15')
   .requiredOption('--out <dir>', 'directory for the profiles')
   .action(run)
   .parseAsync();
--- a/scripts/profile/report.mjs
+++ b/scripts/profile/report.mjs
@@ -1,11 +1,12 @@
-// Prints what scripts/profile/load.ts left behind: processor time by activity and memory by part, one column a process.
+// Prints the profiles that scripts/profile/load.ts wrote: processor time by activity and memory by area, one column
+// per process.
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 
 const [folder] = process.argv.slice(2);
-if (folder === undefined) throw new Error('usage: report.mjs <directory of load.ts>');
+if (folder === undefined) throw new Error('usage: report.mjs <directory that load.ts wrote> [--functions]');
 
-/** First match counts: where a function's code stands, and its name, say which activity it belongs to. */
+/** Activities, with a pattern for the file and name of the functions that belong to each. The first match counts. */
 const ACTIVITIES = [
   ['garbage collection', /^\(garbage collector\)/],
   ['loading the program', /cjs\/loader|launcher|target\/main\.cjs|bootstrap|node:vm|runInThisContext/],
@@ -27,15 +28,15 @@
   ['native code without a name', /^\(program\)/],
 ];
 
-/** The module that each line of the bundle came from: esbuild names it in a comment before its code. */
-function modulesByLine() {
+/** Returns the source module of each line of the bundle. esbuild names a module in a comment before its code. */
+function listModulesByLine() {
   let module = 'bundle';
   return readFileSync('target/program.cjs', 'utf8')
     .split('\n')
     .map((line) => (module = /^\s*\/\/ ((src|node_modules|schema)\/\S+)/.exec(line)?.[1] ?? module));
 }
 
-/** Milliseconds spent in each function itself, by a name that tells where its code stands. */
+/** Returns the milliseconds spent in each function itself, by a name made of its source file and function name. */
 function readProfile(file, modules) {
   const profile = JSON.parse(readFileSync(file, 'utf8'));
   const names = new Map();
@@ -46,25 +47,25 @@
       `${url.endsWith('program.cjs') ? modules[lineNumber] : url || functionName}#${functionName}`,
     );
   }
-  const spent = new Map();
+  const selfTimesMs = new Map();
   profile.samples.forEach((id, index) => {
     const name = names.get(id);
-    spent.set(name, (spent.get(name) ?? 0) + profile.timeDeltas[index] / 1000);
+    selfTimesMs.set(name, (selfTimesMs.get(name) ?? 0) + profile.timeDeltas[index] / 1000);
   });
-  spent.delete('(idle)#(idle)');
-  return spent;
+  selfTimesMs.delete('(idle)#(idle)');
+  return selfTimesMs;
 }
 
-function byActivity(spent) {
+function sumByActivity(selfTimesMs) {
   const sums = new Map();
-  for (const [name, ms] of spent) {
+  for (const [name, ms] of selfTimesMs) {
     const activity = ACTIVITIES.find(([, pattern]) => pattern.test(name))?.[0] ?? 'other';
     sums.set(activity, (sums.get(activity) ?? 0) + ms);
   }
   return sums;
 }
 
-function table(title, columns, rows) {
+function formatTable(title, columns, rows) {
   const lines = [
     `| ${title} | ${columns.join(' | ')} |`,
     `| --- ${'| --- '.repeat(columns.length)}|`,
@@ -73,23 +74,23 @@
   return `${lines.join('\n')}\n\n`;
 }
 
-const modules = modulesByLine();
+const modules = listModulesByLine();
 const members = readdirSync(folder)
   .filter((file) => file.endsWith('.cpuprofile'))
   .map((file) => file.replace('.cpuprofile', ''))
   .sort();
 const profiles = members.map((member) => readProfile(join(folder, `${member}.cpuprofile`), modules));
-const activities = profiles.map(byActivity);
-const busy = activities.map((sums) => [...sums.values()].reduce((a, b) => a + b, 0));
+const activities = profiles.map(sumByActivity);
+const totalsMs = activities.map((sums) => [...sums.values()].reduce((a, b) => a + b, 0));
 const rows = [...ACTIVITIES.map(([name]) => name), 'other'].map((name) => [
   name,
   activities.map((sums, i) => {
     const ms = sums.get(name) ?? 0;
-    return `${ms.toFixed(0)} (${((100 * ms) / busy[i]).toFixed(0)}%)`;
+    return `${ms.toFixed(0)} (${((100 * ms) / totalsMs[i]).toFixed(0)}%)`;
   }),
 ]);
-rows.push(['all', busy.map((ms) => ms.toFixed(0))]);
-process.stdout.write(table('ms of processor time', members, rows));
+rows.push(['all', totalsMs.map((ms) => ms.toFixed(0))]);
+process.stdout.write(formatTable('ms of processor time', members, rows));
 
 const megabytes = (bytes) => (bytes / 2 ** 20).toFixed(1);
 const memory = members.map((member) =>
@@ -104,7 +105,7 @@
   const sizes = memory.map((report) => report.spaces.find((each) => each.space === space).size);
   if (sizes.some((size) => size > 0)) memoryRows.push([`heap: ${space}`, sizes.map(megabytes)]);
 }
-process.stdout.write(table('MB', members, memoryRows));
+process.stdout.write(formatTable('MB', members, memoryRows));
 
 if (process.argv.includes('--functions')) {
   members.forEach((member, i) => {
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -1,118 +1,132 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpResponse } from '../http/message.js';
-import type { SimWorker, WorkerPlace } from './workers.js';
+import type { SimWorker, WorkerMachine } from './workers.js';
 
-interface Host extends WorkerPlace {
-  bornMs: number;
+/** A machine that the cloud has rented out. */
+interface RentedMachine extends WorkerMachine {
+  createdMs: number;
+  /** Undefined while the machine boots. */
   worker: SimWorker | undefined;
 }
 
-const json = (status: number, body: unknown): HttpResponse => ({ status, body: JSON.stringify(body) });
+const jsonResponse = (status: number, body: unknown): HttpResponse => ({
+  status,
+  body: JSON.stringify(body),
+});
 
-/** Stand-in of the cloud, written from its protocol. */
+/** Simulated cloud provider, written from the protocol of the real one. */
 export class SimCloud {
-  readonly hosts = new Map<string, Host>();
-  private readonly answered = new Map<string, string[]>();
-  private count = 0;
+  /** The machines that exist now, by name. */
+  readonly hosts = new Map<string, RentedMachine>();
+  private readonly namesByRequest = new Map<string, string[]>();
+  private createdCount = 0;
+  /** If true, every request gets a 503. */
   down = false;
-  /** Deletions of machines that were gone already. */
-  returnedAgain = 0;
+  /** Number of requests to return machines that were already gone. */
+  repeatedReturns = 0;
 
   constructor(
     private readonly clock: Clock,
-    private readonly types: { sku: string; cpus: number; memGb: number; bootS: number; price: number }[],
+    private readonly instanceTypes: {
+      sku: string;
+      cpus: number;
+      memGb: number;
+      bootS: number;
+      price: number;
+    }[],
     private readonly zones: string[],
-    /** Machines that it has. */
+    /** The most machines that can be rented at the same time. */
     public capacity: number,
-    private readonly boot: (place: WorkerPlace) => SimWorker,
+    private readonly startWorker: (machine: WorkerMachine) => SimWorker,
   ) {}
 
-  /** Machines rented so far. */
+  /** Number of machines rented so far, including those that are gone. */
   get rented(): number {
-    return this.count;
+    return this.createdCount;
   }
 
-  /** Takes a machine away, with all that is on it. */
+  /** Terminates a machine and everything that runs on it. */
   take(name: string): void {
     this.hosts.get(name)?.worker?.kill();
     this.hosts.delete(name);
   }
 
+  /** Answers one HTTP request of a controller. */
   async handle(_from: string, _method: string, target: string, body: string | undefined) {
-    if (this.down) return json(503, { error: 'trouble' });
+    if (this.down) return jsonResponse(503, { error: 'trouble' });
     const path = target.split('?')[0];
-    if (path === '/catalog') return this.catalog();
+    if (path === '/catalog') return this.getCatalog();
     if (path === '/hosts/return') {
       for (const name of (JSON.parse(body ?? '') as { hearths: string[] }).hearths) {
-        if (!this.hosts.has(name)) this.returnedAgain++;
+        if (!this.hosts.has(name)) this.repeatedReturns++;
         this.take(name);
       }
-      return json(200, {});
+      return jsonResponse(200, {});
     }
-    if (body === undefined) return this.list(target.split('?')[1] ?? '');
+    if (body === undefined) return this.listMachines(target.split('?')[1] ?? '');
     return this.rent(JSON.parse(body));
   }
 
-  private catalog(): HttpResponse {
-    return json(200, {
-      builds: this.types.map((t) => ({
-        ...t,
+  private getCatalog(): HttpResponse {
+    return jsonResponse(200, {
+      builds: this.instanceTypes.map((instanceType) => ({
+        ...instanceType,
         accelerators: 0,
         cacheGb: 40,
         pullGbPerS: 1,
-        spotPrice: t.price / 3,
+        spotPrice: instanceType.price / 3,
         yards: this.zones,
       })),
     });
   }
 
-  /** One page of the machine list, which is ordered by name. */
-  private list(query: string): HttpResponse {
+  /** Returns one page of the list of machines, which is ordered by name. */
+  private listMachines(query: string): HttpResponse {
     const parameters = new URLSearchParams(query);
     const since = parameters.get('since') ?? '';
-    const page = Number(parameters.get('page') ?? this.hosts.size);
-    const later = [...this.hosts.values()].filter(({ name }) => name > since);
-    const hearths = later.slice(0, page).map((h) => ({
-      uid: h.name,
-      address: `${h.name}:1`,
-      build: h.type,
-      yard: h.zone,
-      loaner: h.spot,
-      phase: h.worker ? 'running' : 'booting',
-      ageS: (this.clock.steadyMs() - h.bornMs) / 1000,
+    const pageSize = Number(parameters.get('page') ?? this.hosts.size);
+    const remainingHosts = [...this.hosts.values()].filter(({ name }) => name > since);
+    const hearths = remainingHosts.slice(0, pageSize).map((host) => ({
+      uid: host.name,
+      address: `${host.name}:1`,
+      build: host.instanceType,
+      yard: host.zone,
+      loaner: host.spot,
+      phase: host.worker ? 'running' : 'booting',
+      ageS: (this.clock.steadyMs() - host.createdMs) / 1000,
     }));
-    return json(200, { hearths, more: later.length > page });
+    return jsonResponse(200, { hearths, more: remainingHosts.length > pageSize });
   }
 
-  private rent(ask: {
+  private rent(request: {
     ask: string;
     build: string;
     yard: string;
     loaner: boolean;
     howMany: number;
   }): HttpResponse {
-    const known = this.answered.get(ask.ask);
-    if (known) return json(200, { hearths: known });
+    const knownNames = this.namesByRequest.get(request.ask);
+    if (knownNames) return jsonResponse(200, { hearths: knownNames });
     const names: string[] = [];
-    while (names.length < ask.howMany && this.hosts.size < this.capacity) {
-      const name = `vm-${String(this.count++).padStart(6, '0')}`;
-      const host: Host = {
+    while (names.length < request.howMany && this.hosts.size < this.capacity) {
+      const name = `vm-${String(this.createdCount++).padStart(6, '0')}`;
+      const host: RentedMachine = {
         name,
-        type: ask.build,
-        zone: ask.yard,
-        spot: ask.loaner,
-        bornMs: this.clock.steadyMs(),
+        instanceType: request.build,
+        zone: request.yard,
+        spot: request.loaner,
+        createdMs: this.clock.steadyMs(),
         worker: undefined,
       };
       this.hosts.set(name, host);
-      const bootS = this.types.find((t) => t.sku === ask.build)!.bootS;
+      const bootS = this.instanceTypes.find((instanceType) => instanceType.sku === request.build)!.bootS;
       this.clock.after(bootS * 1000, () => {
-        if (this.hosts.get(name) === host) host.worker = this.boot(host);
+        if (this.hosts.get(name) === host) host.worker = this.startWorker(host);
       });
       names.push(name);
     }
-    if (names.length === 0) return json(503, { error: 'no capacity' });
-    this.answered.set(ask.ask, names);
-    return json(200, { hearths: names });
+    if (names.length === 0) return jsonResponse(503, { error: 'no capacity' });
+    this.namesByRequest.set(request.ask, names);
+    return jsonResponse(200, { hearths: names });
   }
 }
--- a/src/simulation/day.ts
+++ b/src/simulation/day.ts
@@ -7,8 +7,8 @@
 import { shareSockets } from '../sizing.js';
 import { ProcessClock, SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 import { SimCloud } from './cloud.js';
-import { SimNetwork, SimPeers } from './network.js';
-import { SimRules, type SimJob } from './rules.js';
+import { SimNetwork, SimPeerNetwork } from './network.js';
+import { RuleChecker, type SimJob } from './rules.js';
 import { SimStateService } from './state-service.js';
 import type { TrafficObserver } from './traffic-observer.js';
 import { SimWorker } from './workers.js';
@@ -17,55 +17,60 @@
 const REPORT_S = 1.5;
 const LEASE_S = 14;
 const CANCEL_S = 35;
-/** A start command may be under way, or its image be fetched, for this long after a cancellation was confirmed. */
-const UNDER_WAY_S = 8;
+/** How long after a confirmed cancellation an earlier start command may be in transit, or its image be fetched. */
+const COMMAND_TRANSIT_S = 8;
 
+/** Options of a simulated deployment. */
 export interface DayOptions {
   controllers: number;
-  /** Machines per offer that the cloud has. */
+  /** The most machines that the cloud rents out at the same time. */
   machines: number;
-  /** Times as many CPUs per team as in a small day. */
+  /** Factor by which each team's CPU limits exceed those of a small deployment. */
   scale: number;
-  /** Zones that have machines. */
+  /** Zones in which the cloud has machines. Defaults to all zones. */
   machineZones?: string[];
-  /** Seconds for which a machine boots; lacking: 8. */
+  /** Seconds that a machine takes to boot. Defaults to 8. */
   bootS?: number;
-  /** Seconds between two reports of a worker; lacking: those of a small deployment. */
+  /** Seconds between two reports of a worker. Defaults to the interval of a small deployment. */
   reportS?: number;
-  /** Rates of the outside services; lacking: those of a small deployment. */
+  /** Rate limits of the state service and the cloud. Default to those of a small deployment. */
   rates?: { rps: number; writesPerS: number; cloudRps: number };
-  /** Controllers that hold duties, and leave them to their holders when they lead; lacking: none. */
+  /**
+   * Controllers that take part in leased roles, and leave the work of a role to its holder when they lead. Defaults
+   * to none.
+   */
   duties?: readonly string[];
-  /** Limits that are announced for the state service. */
+  /** Limits of the state service that the settings announce. Default to those that the simulated service enforces. */
   next?: { valueBytes: number; txnOps: number };
-  /** Is shown every message; lacking: nobody is. */
-  observer?: (clock: SimulatedClock) => TrafficObserver;
+  /** Creates an observer that receives every message. */
+  createObserver?: (clock: SimulatedClock) => TrafficObserver;
 }
 
-const MACHINE = { sku: 'm4', cpus: 4, memGb: 16, bootS: 8, price: 0.2 };
+const MACHINE_TYPE = { sku: 'm4', cpus: 4, memGb: 16, bootS: 8, price: 0.2 };
 
 const SMALL_RATES = { rps: 200, writesPerS: 80, cloudRps: 6 };
 
+/** A deployment of three controllers and few machines. */
 export const SMALL: DayOptions = { controllers: 3, machines: 24, scale: 1 };
 
-const membersOf = (options: DayOptions): string[] =>
+const listMembers = (options: DayOptions): string[] =>
   Array.from({ length: options.controllers }, (_, i) => `c${i}`);
 
-function settingsOf(member: string, options: DayOptions): Settings {
-  const members = membersOf(options);
+function createSettings(member: string, options: DayOptions): Settings {
+  const members = listMembers(options);
   const rates = options.rates ?? SMALL_RATES;
-  const zoneOf = (name: string): string => ZONES[members.indexOf(name) % 2]!;
+  const getZone = (name: string): string => ZONES[members.indexOf(name) % 2]!;
   return {
     member,
-    zone: zoneOf(member),
+    zone: getZone(member),
     publicAddress: `${member}:80`,
     peerAddress: `${member}:81`,
     peers: members
-      .filter((m) => m !== member)
-      .map((m) => ({
-        member: m,
-        zone: zoneOf(m),
-        address: `${m}:81`,
+      .filter((other) => other !== member)
+      .map((other) => ({
+        member: other,
+        zone: getZone(other),
+        address: `${other}:81`,
       })),
     cloudAddress: 'cloud:1',
     stateAddress: 'state:1',
@@ -108,7 +113,7 @@
   };
 }
 
-const DEFAULTS: Omit<SimJob, 'uid'> = {
+const DEFAULT_JOB: Omit<SimJob, 'uid'> = {
   team: 'blue',
   kind: 'array',
   tasks: 4,
@@ -122,21 +127,23 @@
   dependencies: [],
 };
 
-/** A whole deployment in one process, on simulated time: three controllers and stand-ins for everything else. */
+/**
+ * A whole deployment in one process on simulated time: real controllers, and simulated services, workers and users.
+ */
 export class SimDay {
   readonly clock = new SimulatedClock();
-  readonly rules: SimRules;
+  readonly rules: RuleChecker;
   readonly state: SimStateService;
   readonly cloud: SimCloud;
   readonly network: SimNetwork;
   readonly random: () => number;
-  readonly peers: SimPeers;
-  private readonly processes = new Map<string, ProcessClock>();
-  private readonly finished = new Set<string>();
-  private readonly users;
-  private jobs = 0;
+  readonly peers: SimPeerNetwork;
+  private readonly processClocks = new Map<string, ProcessClock>();
+  private readonly finishedTasks = new Set<string>();
+  private readonly userCaller;
+  private jobCount = 0;
 
-  /** From when on all troubles are over. */
+  /** Time after which no fault is active. Jobs must not be left waiting after it. */
   calmMs = Infinity;
 
   readonly members: string[];
@@ -145,161 +152,173 @@
     seed: number,
     private readonly options: DayOptions = SMALL,
   ) {
-    this.members = membersOf(options);
+    this.members = listMembers(options);
     const generator = xoroshiro128plus(seed);
     this.random = () => uniformFloat64(generator);
-    this.network = new SimNetwork(this.clock, this.random, options.observer?.(this.clock));
-    this.peers = new SimPeers(this.network);
-    const limits = new Map(settingsOf('c0', options).teams.map((t) => [t.name, t.cpuLimit]));
-    this.rules = new SimRules(() => this.clock.steadyMs(), limits, CANCEL_S, UNDER_WAY_S);
+    this.network = new SimNetwork(this.clock, this.random, options.createObserver?.(this.clock));
+    this.peers = new SimPeerNetwork(this.network);
+    const teamCpuLimits = new Map(
+      createSettings('c0', options).teams.map((team) => [team.name, team.cpuLimit]),
+    );
+    this.rules = new RuleChecker(() => this.clock.steadyMs(), teamCpuLimits, CANCEL_S, COMMAND_TRANSIT_S);
     this.state = new SimStateService(this.clock, this.random);
     const controllers = this.members.map((member) => ({ member, address: `${member}:80` }));
     const timing = { reportS: this.options.reportS ?? REPORT_S, leaseS: LEASE_S, fetchS: 1 };
-    this.members.forEach((member) => this.network.setZone(member, settingsOf(member, options).zone));
+    this.members.forEach((member) => this.network.setZone(member, createSettings(member, options).zone));
     this.cloud = new SimCloud(
       this.clock,
-      [{ ...MACHINE, bootS: options.bootS ?? MACHINE.bootS }],
+      [{ ...MACHINE_TYPE, bootS: options.bootS ?? MACHINE_TYPE.bootS }],
       options.machineZones ?? ZONES,
       options.machines,
-      (place) => {
-        this.network.setZone(place.name, place.zone);
+      (machine) => {
+        this.network.setZone(machine.name, machine.zone);
         return new SimWorker(
-          place,
+          machine,
           controllers,
           timing,
           this.clock,
           this.network,
           this.rules,
           this.random,
-          this.finished,
+          this.finishedTasks,
         );
       },
     );
-    this.network.attach('state', 'state:1', (...args) => this.state.handle(...args));
-    this.network.attach('cloud', 'cloud:1', (...args) => this.cloud.handle(...args));
-    this.users = this.network.caller('users', () => true);
-    for (const member of this.members) this.start(member);
+    this.network.attach('state', 'state:1', (...request) => this.state.handle(...request));
+    this.network.attach('cloud', 'cloud:1', (...request) => this.cloud.handle(...request));
+    this.userCaller = this.network.createCaller('users', () => true);
+    for (const member of this.members) this.startController(member);
     const check = (): void => {
-      this.rules.check();
-      this.rules.checkWaiting(this.calmMs, this.machinesUp());
+      this.rules.checkCancelledTasks();
+      this.rules.checkWaitingJobs(this.calmMs, this.listRunningMachines());
       this.clock.after(500, check);
     };
     check();
   }
 
-  start(member: string): void {
-    const clock = new ProcessClock(this.clock, (run) => this.network.on(member, run));
-    this.processes.set(member, clock);
-    const alive = (): boolean => clock.isAlive;
-    const httpClient = this.network.caller(member, alive);
+  /** Starts the process of a controller. */
+  startController(member: string): void {
+    const clock = new ProcessClock(this.clock, (run) => this.network.runOnHost(member, run));
+    this.processClocks.set(member, clock);
+    const isAlive = (): boolean => clock.isAlive;
+    const httpClient = this.network.createCaller(member, isAlive);
     const controller = new Controller({
-      settings: settingsOf(member, this.options),
+      settings: createSettings(member, this.options),
       clock,
       random: this.random,
       processStartMs: this.clock.steadyMs(),
       memoryUsedBytes: () => 0,
       httpClient,
       workerHttpClient: httpClient,
-      peers: this.peers.channel(member, alive),
+      peers: this.peers.createTransport(member, isAlive),
       log: pino({ level: 'silent' }),
     });
     this.network.attach(member, `${member}:80`, (_from, method, target, body) => {
-      const mark = target.indexOf('?');
+      const queryIndex = target.indexOf('?');
       const request = {
         method,
-        path: mark < 0 ? target : target.slice(0, mark),
+        path: queryIndex < 0 ? target : target.slice(0, queryIndex),
         query: '',
         body: body ?? '',
       };
       return new Promise<HttpResponse>((resolve) =>
         controller.handleRequest(request, (response) => {
-          if (alive()) resolve(response);
+          if (isAlive()) resolve(response);
         }),
       );
     });
     controller.start();
   }
 
-  private machinesUp(): { name: string; zone: string; spot: boolean; cpus: number }[] {
+  private listRunningMachines(): { name: string; zone: string; spot: boolean; cpus: number }[] {
     return [...this.cloud.hosts.values()]
       .filter((host) => host.worker)
-      .map(({ name, zone, spot }) => ({ name, zone, spot, cpus: MACHINE.cpus }));
+      .map(({ name, zone, spot }) => ({ name, zone, spot, cpus: MACHINE_TYPE.cpus }));
   }
 
-  crash(member: string, backMs: number): void {
-    this.processes.get(member)!.kill();
+  /** Kills a controller and starts it again after a delay. */
+  crash(member: string, restartDelayMs: number): void {
+    this.processClocks.get(member)!.kill();
     this.network.detach(member);
-    this.clock.after(backMs, () => this.start(member));
+    this.clock.after(restartDelayMs, () => this.startController(member));
   }
 
   /**
-   * The controller stands still for a while, its clocks run on. What it decided in the last moments before is said only
-   * afterwards: a pause may fall between a check and what rests on it.
+   * Pauses a controller for a while. Its clocks run on. Messages that it sends in the last 40 ms before the pause
+   * leave only afterwards, because a pause may fall between a check and the action that relies on it.
    */
-  freeze(member: string, forMs: number): void {
-    this.network.holdBack(member);
-    this.clock.after(40, () => this.network.halt(member));
-    this.clock.after(forMs, () => this.network.resume(member));
+  freeze(member: string, durationMs: number): void {
+    this.network.holdOutbound(member);
+    this.clock.after(40, () => this.network.pauseHost(member));
+    this.clock.after(durationMs, () => this.network.resumeHost(member));
   }
 
+  /** Schedules an action at a second of simulated time. */
   at(second: number, run: () => void): void {
     this.clock.after(second * 1000 - this.clock.steadyMs(), run);
   }
 
-  /** Submits a job, polls it to its end, and cancels it after `cancelS` if that is given. */
+  /**
+   * Submits a job and polls it from then on. If `cancelS` is given, cancels the job that many seconds after it was
+   * accepted.
+   */
   submit(fields: Partial<SimJob>, cancelS?: number): SimJob {
     const job = this.expect(fields);
-    void this.user(job, cancelS);
+    void this.simulateUser(job, cancelS);
     return job;
   }
 
-  /** A job that the test itself submits. */
+  /** Registers a job with the rule checker without submitting it. The test submits it. */
   expect(fields: Partial<SimJob>): SimJob {
-    const uid = `job-${String(++this.jobs).padStart(6, '0')}`;
-    const job: SimJob = { uid, ...DEFAULTS, ...fields };
-    this.rules.add(job);
+    const uid = `job-${String(++this.jobCount).padStart(6, '0')}`;
+    const job: SimJob = { uid, ...DEFAULT_JOB, ...fields };
+    this.rules.trackJob(job);
     return job;
   }
 
-  /** Its user calls a job off now, and repeats that until it is answered. */
+  /** Cancels a job, and repeats the request until it gets an answer. */
   async cancel(uid: string): Promise<void> {
-    this.rules.calledOff(uid);
+    this.rules.recordCancelRequest(uid);
     for (;;) {
-      if (this.heard(uid, await this.ask('POST', `/submissions/${uid}/abort`))) return;
-      await this.pause(1000);
+      if (this.recordStatus(uid, await this.sendToRandomMember('POST', `/submissions/${uid}/abort`))) return;
+      await this.sleep(1000);
     }
   }
 
-  /** Its user asks once how a job is. */
+  /** Asks once for the phase of a job. */
   async poll(uid: string): Promise<void> {
-    this.heard(uid, await this.ask('GET', `/submissions/${uid}`));
+    this.recordStatus(uid, await this.sendToRandomMember('GET', `/submissions/${uid}`));
   }
 
-  /** Its user submits a job once more. */
-  async repeat(job: SimJob): Promise<void> {
-    const response = await this.ask('POST', '/submissions', this.wireOf(job));
-    if (response) this.rules.submitted(job.uid, response.status);
-    this.heard(job.uid, response);
+  /** Submits a job once more. */
+  async resubmit(job: SimJob): Promise<void> {
+    const response = await this.sendToRandomMember('POST', '/submissions', this.wireOf(job));
+    if (response) this.rules.recordSubmissionResponse(job.uid, response.status);
+    this.recordStatus(job.uid, response);
   }
 
-  /** What a user is told of a job's state; undefined: nothing. */
-  private heard(uid: string, response: HttpResponse | undefined): string | undefined {
+  /** Records the answer about a job, and returns its phase. Undefined if the response holds none. */
+  private recordStatus(uid: string, response: HttpResponse | undefined): string | undefined {
     const phase =
       response?.status === 200 ? (JSON.parse(response.body) as { phase: string }).phase : undefined;
-    if (response) this.rules.told(uid, response.status, phase);
+    if (response) this.rules.recordStatusResponse(uid, response.status, phase);
     return phase;
   }
 
-  /** Who leads by the state service; undefined: nobody. */
+  /** The leader according to the state service. Undefined if there is none. */
   get leader(): string | undefined {
     return (this.state.peek('ph/leader') as { member: string } | undefined)?.member;
   }
 
+  /** Whether the user was told that the job is done or cancelled. */
   isOver(job: SimJob): boolean {
     return this.rules.jobs.get(job.uid)!.told !== 'open';
   }
 
-  /** What one controller answers to a request of a user, a worker or the load balancer. */
+  /**
+   * Sends one request to a controller, as a user, a worker or the load balancer would. Undefined if it gets no
+   * answer.
+   */
   async askOne(
     member: string,
     method: string,
@@ -308,43 +327,49 @@
   ): Promise<HttpResponse | undefined> {
     const text = body === undefined ? undefined : JSON.stringify(body);
     try {
-      return await this.users.call(`${member}:80`, method, path, text, 5000);
+      return await this.userCaller.call(`${member}:80`, method, path, text, 5000);
     } catch {
       return undefined;
     }
   }
 
-  private async ask(method: string, path: string, body?: unknown): Promise<HttpResponse | undefined> {
+  private async sendToRandomMember(
+    method: string,
+    path: string,
+    body?: unknown,
+  ): Promise<HttpResponse | undefined> {
     const member = this.members[Math.floor(this.random() * this.members.length)]!;
     return this.askOne(member, method, path, body);
   }
 
-  private pause(ms: number): Promise<void> {
+  private sleep(ms: number): Promise<void> {
     return new Promise((resolve) => this.clock.after(ms, resolve));
   }
 
-  private async user(job: SimJob, cancelS: number | undefined): Promise<void> {
-    const wire = this.wireOf(job);
+  private async simulateUser(job: SimJob, cancelS: number | undefined): Promise<void> {
+    const submission = this.wireOf(job);
     for (;;) {
-      const response = await this.ask('POST', '/submissions', wire);
-      if (response) this.rules.submitted(job.uid, response.status);
+      const response = await this.sendToRandomMember('POST', '/submissions', submission);
+      if (response) this.rules.recordSubmissionResponse(job.uid, response.status);
       if (response && response.status < 300) break;
-      await this.pause(1000);
+      await this.sleep(1000);
     }
     const cancelAtMs = cancelS === undefined ? Infinity : this.clock.steadyMs() + cancelS * 1000;
     for (;;) {
-      const cancel = this.clock.steadyMs() >= cancelAtMs;
-      if (cancel) this.rules.calledOff(job.uid);
+      const isCancelling = this.clock.steadyMs() >= cancelAtMs;
+      if (isCancelling) this.rules.recordCancelRequest(job.uid);
       const path = `/submissions/${job.uid}`;
-      const response = cancel ? await this.ask('POST', `${path}/abort`) : await this.ask('GET', path);
-      const phase = this.heard(job.uid, response);
-      await this.pause(cancel && !phase ? 1000 : 3000);
+      const response = isCancelling
+        ? await this.sendToRandomMember('POST', `${path}/abort`)
+        : await this.sendToRandomMember('GET', path);
+      const phase = this.recordStatus(job.uid, response);
+      await this.sleep(isCancelling && !phase ? 1000 : 3000);
     }
   }
 
-  /** A submission as it stands on the wire. */
+  /** Encodes a job as the body of a submission. */
   wireOf(fields: Partial<SimJob>): Record<string, unknown> {
-    const job = { ...DEFAULTS, uid: '', ...fields };
+    const job = { ...DEFAULT_JOB, uid: '', ...fields };
     return {
       uid: job.uid,
       cohort: 'batch',
--- a/src/simulation/duty-log.ts
+++ b/src/simulation/duty-log.ts
@@ -12,43 +12,49 @@
 import type { SimHandler } from './network.js';
 import type { SimStateService } from './state-service.js';
 
-const TOKENS = 'ph/duty-token/';
+const TOKEN_KEY_PREFIX = 'ph/duty-token/';
 
-/** One action of a duty as a stand-in received it. */
+/** One action of a leased role, as a simulated service received it. */
 export interface DutyAction {
-  atMs: number;
+  receivedMs: number;
   duty: Role;
   sender: string;
-  /** Who held the duty as it arrived. */
+  /** The member that held the role when the action arrived. */
   holder: string | undefined;
+  /** The key that a write changed, or the request name or machines of a call to the cloud. */
   subject: string;
-  /** `record`: a write that was taken; `effect`: machines came or went; `none`: nothing changed. */
+  /** `record` if a write was accepted, `effect` if machines were rented or returned, `none` if nothing changed. */
   result: 'record' | 'effect' | 'none';
-  /** Whether it was on record before that this is carried out. */
+  /** Whether a committed intent for this action was stored before it arrived. */
   isCovered: boolean;
 }
 
+/** Summary of the actions that arrived from members that did not hold the role. */
 export interface StaleSummary {
-  /** Actions of who did not hold the duty that were accepted: a changed record, or an effect that is on no record. */
+  /** Stale actions that were wrongly accepted: stored writes, and effects for which no committed intent is stored. */
   accepted: DutyAction[];
-  /** Late calls that changed nothing. */
+  /** Number of stale calls that changed nothing. */
   withoutEffect: number;
-  /** Late calls that were the first to bring about what stood on record as being carried out. */
+  /** Number of stale calls that were the first to carry out a committed intent. */
   asRecorded: number;
 }
 
+/** The part of a transaction's body that holds its operations. */
 interface Transaction {
   apply?: { put?: string; drop?: string; v?: unknown }[];
 }
 
-/** What the stand-ins of the state service and the cloud receive from holders of duties, and who holds them then. */
+/**
+ * Logs what the simulated state service and cloud receive from holders of leased roles, and who held the role then.
+ */
 export class DutyLog {
+  /** All actions received so far. */
   readonly actions: DutyAction[] = [];
-  /** Tokens that were given out of turn, and request names that were used for two orders. */
+  /** Fencing tokens that did not increase, and request names that were used for two intents. */
   readonly faults: string[] = [];
   private readonly latestTokens = new Map<string, number>();
-  private readonly owners = new Map<string, string>();
-  private readonly intended = new Map<string, Intent>();
+  private readonly intentKeysByRequestName = new Map<string, string>();
+  private readonly committedIntents = new Map<string, Intent>();
 
   constructor(
     private readonly state: SimStateService,
@@ -56,29 +62,33 @@
     private readonly nowMs: () => number,
   ) {}
 
+  /** Returns a handler that logs each request of the service and then passes it on. */
   wrap(service: 'state' | 'cloud', handler: SimHandler): SimHandler {
     return (from, method, target, body) => {
       if (service === 'state' && target === '/multi' && body !== undefined)
-        return this.transaction(from, body, () => handler(from, method, target, body));
+        return this.observeTransaction(from, body, () => handler(from, method, target, body));
       if (service === 'cloud' && method === 'POST' && body !== undefined)
-        return this.call(from, target, body, () => handler(from, method, target, body));
+        return this.observeCloudCall(from, target, body, () => handler(from, method, target, body));
       return handler(from, method, target, body);
     };
   }
 
-  holderOf(duty: Role): string | undefined {
-    return decodeHolder(this.state.peek(holderKey(duty)))?.member;
+  /** The member that holds the role. Undefined if nobody does. */
+  holderOf(role: Role): string | undefined {
+    return decodeHolder(this.state.peek(holderKey(role)))?.member;
   }
 
-  /** Token of whoever holds the duty. */
-  tokenOf(duty: Role): number | undefined {
-    return decodeHolder(this.state.peek(holderKey(duty)))?.fencingToken;
+  /** The fencing token of the role's holder. Undefined if nobody holds the role. */
+  getFencingToken(role: Role): number | undefined {
+    return decodeHolder(this.state.peek(holderKey(role)))?.fencingToken;
   }
 
+  /** The holder of each role, in the order of ROLES. */
   holders(): (string | undefined)[] {
-    return ROLES.map((duty) => this.holderOf(duty));
+    return ROLES.map((role) => this.holderOf(role));
   }
 
+  /** Summarizes the actions whose sender did not hold the role when they arrived. */
   stale(): StaleSummary {
     const stale = this.actions.filter(({ sender, holder }) => sender !== holder);
     return {
@@ -90,76 +100,96 @@
     };
   }
 
-  private async transaction(
+  private async observeTransaction(
     sender: string,
     body: string,
     execute: () => Promise<HttpResponse | undefined>,
   ): Promise<HttpResponse | undefined> {
-    const holders = new Map(ROLES.map((duty) => [duty, this.holderOf(duty)]));
-    const atMs = this.nowMs();
+    const holders = new Map(ROLES.map((role) => [role, this.holderOf(role)]));
+    const receivedMs = this.nowMs();
     const response = await execute();
     if (response?.status !== 200) return response;
     for (const { put, drop, v } of (JSON.parse(body) as Transaction).apply ?? []) {
-      if (put !== undefined) this.noteFaults(put, v);
-      const order = put === undefined ? undefined : decodeIntent(put, v);
-      const duty = drop?.startsWith(INTENT_KEY_PREFIX)
+      if (put !== undefined) this.checkTokenAndRequestName(put, v);
+      const intent = put === undefined ? undefined : decodeIntent(put, v);
+      const role = drop?.startsWith(INTENT_KEY_PREFIX)
         ? 'cleanup'
-        : order?.state === 'requested'
+        : intent?.state === 'requested'
           ? undefined
-          : order?.role;
-      if (order?.state === 'committed') this.intended.set(put!, order);
-      if (duty === undefined) continue;
+          : intent?.role;
+      if (intent?.state === 'committed') this.committedIntents.set(put!, intent);
+      if (role === undefined) continue;
       const subject = put ?? drop!;
       this.actions.push({
-        ...{ atMs, duty, sender, subject, holder: holders.get(duty), result: 'record', isCovered: false },
+        ...{
+          receivedMs,
+          duty: role,
+          sender,
+          subject,
+          holder: holders.get(role),
+          result: 'record',
+          isCovered: false,
+        },
       });
     }
     return response;
   }
 
-  private noteFaults(key: string, value: unknown): void {
-    if (key.startsWith(TOKENS)) {
+  private checkTokenAndRequestName(key: string, value: unknown): void {
+    if (key.startsWith(TOKEN_KEY_PREFIX)) {
       const token = (value as { token: number }).token;
-      if (token <= (this.latestTokens.get(key) ?? 0)) this.faults.push(`${key} did not rise: ${token}`);
+      if (token <= (this.latestTokens.get(key) ?? 0)) this.faults.push(`${key} did not increase: ${token}`);
       this.latestTokens.set(key, token);
     }
-    const order = decodeIntent(key, value);
-    if (order?.role !== 'rent') return;
-    if ((this.owners.get(order.requestName) ?? key) !== key)
-      this.faults.push(`${order.requestName} was used twice`);
-    this.owners.set(order.requestName, key);
+    const intent = decodeIntent(key, value);
+    if (intent?.role !== 'rent') return;
+    if ((this.intentKeysByRequestName.get(intent.requestName) ?? key) !== key)
+      this.faults.push(`request name ${intent.requestName} was used for two intents`);
+    this.intentKeysByRequestName.set(intent.requestName, key);
   }
 
-  private async call(
+  private async observeCloudCall(
     sender: string,
     target: string,
     body: string,
     execute: () => Promise<HttpResponse | undefined>,
   ): Promise<HttpResponse | undefined> {
     const request = JSON.parse(body) as { ask?: string; hearths?: string[] };
-    const covers = (order: Intent): boolean =>
-      order.role === 'rent'
-        ? order.requestName === request.ask
-        : request.hearths?.every((name) => order.names.includes(name)) === true;
-    const covering = [...this.intended.values()].find(covers);
-    const duty = covering?.role ?? (target === '/hosts' ? 'rent' : 'return');
-    const holder = this.holderOf(duty);
-    const atMs = this.nowMs();
-    const before = { rented: this.cloud.rented, hosts: this.cloud.hosts.size };
+    const isIntentOfRequest = (intent: Intent): boolean =>
+      intent.role === 'rent'
+        ? intent.requestName === request.ask
+        : request.hearths?.every((name) => intent.names.includes(name)) === true;
+    const committedIntent = [...this.committedIntents.values()].find(isIntentOfRequest);
+    const role = committedIntent?.role ?? (target === '/hosts' ? 'rent' : 'return');
+    const holder = this.holderOf(role);
+    const receivedMs = this.nowMs();
+    const countsBefore = { rented: this.cloud.rented, hosts: this.cloud.hosts.size };
     const response = await execute();
-    const changed = this.cloud.rented !== before.rented || this.cloud.hosts.size < before.hosts;
+    const hasChangedMachines =
+      this.cloud.rented !== countsBefore.rented || this.cloud.hosts.size < countsBefore.hosts;
     this.actions.push({
-      ...{ atMs, duty, sender, holder, subject: request.ask ?? (request.hearths ?? []).join(' ') },
-      result: changed ? 'effect' : 'none',
-      isCovered: covering !== undefined,
+      ...{
+        receivedMs,
+        duty: role,
+        sender,
+        holder,
+        subject: request.ask ?? (request.hearths ?? []).join(' '),
+      },
+      result: hasChangedMachines ? 'effect' : 'none',
+      isCovered: committedIntent !== undefined,
     });
     return response;
   }
 }
 
-/** A transaction without the conditions on what the duties keep, but for those that a key must not exist. */
+/**
+ * Removes the fencing conditions from a transaction, which are those on the revisions of the keys of leased roles.
+ * Conditions that a key must not exist are kept.
+ */
 export function withoutFences(body: string): string {
   const transaction = JSON.parse(body) as { if?: { key: string; stamp: number }[] };
-  const kept = (transaction.if ?? []).filter(({ key, stamp }) => stamp === 0 || !key.startsWith('ph/duty-'));
-  return JSON.stringify({ ...transaction, if: kept });
+  const keptConditions = (transaction.if ?? []).filter(
+    ({ key, stamp }) => stamp === 0 || !key.startsWith('ph/duty-'),
+  );
+  return JSON.stringify({ ...transaction, if: keptConditions });
 }
--- a/src/simulation/loopback-cluster.ts
+++ b/src/simulation/loopback-cluster.ts
@@ -4,115 +4,151 @@
 import { pino } from 'pino';
 import { parse } from 'smol-toml';
 import { SimCloud } from './cloud.js';
-import { backgroundClock, freePorts, LoopbackNetwork, WORKER_PORT } from './loopback-network.js';
+import { backgroundClock, findFreePorts, LoopbackNetwork, WORKER_PORT } from './loopback-network.js';
 import { LoopbackUsers } from './loopback-users.js';
 import type { SimHandler } from './network.js';
-import { SimRules } from './rules.js';
+import { RuleChecker } from './rules.js';
 import { SimStateService } from './state-service.js';
 import { SimWorker } from './workers.js';
 
 const ZONES = ['east', 'west'];
 const MACHINE_CPUS = 4;
-const UNDER_WAY_S = 8;
+/** How long after a confirmed cancellation an earlier start command may be in transit, or its image be fetched. */
+const COMMAND_TRANSIT_S = 8;
 
-export interface LoopbackOptions {
+/** Options of a cluster on loopback. */
+export interface LoopbackClusterOptions {
   controllers: number;
-  /** Machines that the cloud has. */
+  /** The most machines that the cloud rents out at the same time. */
   machines: number;
   timing: { reportS: number; leaseS: number; cancelS: number; bootS: number };
-  /** Folder for settings and logs of the processes. */
+  /** Folder for the settings and logs of the processes. */
   folder: string;
-  /** Operators' settings of each controller; lacking: none. */
+  /** Operator settings of every controller. Without it, controllers start without an operator file. */
   operator?: unknown;
-  /** Flags of node besides those of the deploy file. */
+  /** Returns the node flags of a controller, in addition to those of the deploy file. */
   nodeFlags?: (member: string) => string[];
+  /** Returns additional environment variables of a controller. */
   environment?: (member: string) => Record<string, string>;
   random: () => number;
 }
 
-/** The addresses of one controller; it has its own ones of the outside services, which thus know who calls. */
-interface Addresses {
+/**
+ * The addresses of one controller. Each controller has its own addresses of the state service and the cloud, which
+ * tell them who calls.
+ */
+interface ControllerAddresses {
   user: string;
   peer: string;
   state: string;
   cloud: string;
 }
 
-/** Real controller processes on loopback, against the stand-ins of the state service, the cloud and the workers. */
+/** Real controller processes on loopback, with a simulated state service, cloud and workers. */
 export class LoopbackCluster {
   readonly state: SimStateService;
   readonly cloud: SimCloud;
-  readonly rules: SimRules;
+  readonly rules: RuleChecker;
   readonly members: readonly string[];
-  /** Members that the state service, or the cloud, does not answer at all. */
+  /** Members whose requests the state service leaves unanswered. */
   readonly cutFromState = new Set<string>();
-  readonly cutFromCloud = new Set<string>();
+  /** Members whose requests the cloud leaves unanswered. */
+  readonly isolatedFromCloud = new Set<string>();
   private readonly log = pino({ level: 'warn' });
   private readonly network = new LoopbackNetwork(this.log);
-  private readonly addresses = new Map<string, Addresses>();
+  private readonly addresses = new Map<string, ControllerAddresses>();
   private readonly processes = new Map<string, ChildProcess>();
-  private readonly finished = new Set<string>();
-  private usersOfAll!: LoopbackUsers;
-  private booted = 0;
-  /** Second byte of the workers' addresses. */
-  private addressPart = 0;
+  private readonly finishedTasks = new Set<string>();
+  private startedUsers!: LoopbackUsers;
+  private workerCount = 0;
+  /** Second byte of the workers' loopback addresses. */
+  private addressBlock = 0;
 
-  constructor(private readonly options: LoopbackOptions) {
+  constructor(private readonly options: LoopbackClusterOptions) {
     const { controllers, machines, timing, random } = options;
     this.members = Array.from({ length: controllers }, (_, i) => `controller-${i}`);
     this.state = new SimStateService(backgroundClock, random);
-    const limits = new Map([['blue', machines * MACHINE_CPUS]]);
-    this.rules = new SimRules(() => backgroundClock.steadyMs(), limits, timing.cancelS, UNDER_WAY_S);
-    const type = { sku: 'm4', cpus: MACHINE_CPUS, memGb: 16, bootS: timing.bootS, price: 0.2 };
-    this.cloud = new SimCloud(backgroundClock, [type], ZONES, machines, (place) => this.boot(place));
+    const teamCpuLimits = new Map([['blue', machines * MACHINE_CPUS]]);
+    this.rules = new RuleChecker(
+      () => backgroundClock.steadyMs(),
+      teamCpuLimits,
+      timing.cancelS,
+      COMMAND_TRANSIT_S,
+    );
+    const instanceType = { sku: 'm4', cpus: MACHINE_CPUS, memGb: 16, bootS: timing.bootS, price: 0.2 };
+    this.cloud = new SimCloud(backgroundClock, [instanceType], ZONES, machines, (machine) =>
+      this.startWorker(machine),
+    );
   }
 
-  /** Starts the stand-ins, then the controllers. The handlers of the stand-ins may be wrapped, to log what arrives. */
+  /**
+   * Starts the simulated services and then the controllers. `wrap` may replace the handlers of the services, to log
+   * requests.
+   */
   async start(
-    wrap: (service: 'state' | 'cloud', handler: SimHandler) => SimHandler = (_, h) => h,
+    wrap: (service: 'state' | 'cloud', handler: SimHandler) => SimHandler = (_, serviceHandler) =>
+      serviceHandler,
   ): Promise<void> {
     mkdirSync(this.options.folder, { recursive: true });
-    const state = wrap('state', (...args) => this.state.handle(...args));
-    const cloud = wrap('cloud', (...args) => this.cloud.handle(...args));
-    this.addressPart = await this.network.ownPart();
-    const ports = await freePorts(4 * this.members.length);
-    const next = (): string => `127.0.0.1:${ports.pop()}`;
+    const state = wrap('state', (...request) => this.state.handle(...request));
+    const cloud = wrap('cloud', (...request) => this.cloud.handle(...request));
+    this.addressBlock = await this.network.reserveAddressBlock();
+    const ports = await findFreePorts(4 * this.members.length);
+    const nextAddress = (): string => `127.0.0.1:${ports.pop()}`;
     for (const member of this.members)
-      this.addresses.set(member, { user: next(), peer: next(), state: next(), cloud: next() });
-    for (const [member, at] of this.addresses) {
-      await this.network.attach('state', at.state, unless(this.cutFromState, state), member);
-      await this.network.attach('cloud', at.cloud, unless(this.cutFromCloud, cloud), member);
+      this.addresses.set(member, {
+        user: nextAddress(),
+        peer: nextAddress(),
+        state: nextAddress(),
+        cloud: nextAddress(),
+      });
+    for (const [member, controllerAddresses] of this.addresses) {
+      await this.network.attach(
+        'state',
+        controllerAddresses.state,
+        ignoreCallers(this.cutFromState, state),
+        member,
+      );
+      await this.network.attach(
+        'cloud',
+        controllerAddresses.cloud,
+        ignoreCallers(this.isolatedFromCloud, cloud),
+        member,
+      );
     }
     const addresses = [...this.addresses.values()].map(({ user }) => user);
-    this.usersOfAll = new LoopbackUsers(this.rules, addresses, this.options.random);
+    this.startedUsers = new LoopbackUsers(this.rules, addresses, this.options.random);
     for (const member of this.members) this.startController(member);
   }
 
-  /** Those who submit jobs; only after the start. */
+  /** The users that submit jobs. Available after `start`. */
   get users(): LoopbackUsers {
-    return this.usersOfAll;
+    return this.startedUsers;
   }
 
-  /** Stops the process without its notice; its clocks run on. */
+  /** Suspends the process of a controller. The process does not notice, and the clocks run on. */
   pause(member: string): void {
     this.processes.get(member)?.kill('SIGSTOP');
   }
 
+  /** Lets a suspended process run again. */
   resume(member: string): void {
     this.processes.get(member)?.kill('SIGCONT');
   }
 
+  /** Kills the process of a controller. */
   kill(member: string): void {
     this.processes.get(member)?.kill('SIGKILL');
   }
 
+  /** Writes the settings of a controller and starts its process. */
   startController(member: string): void {
     const { folder, operator, nodeFlags, environment } = this.options;
     const file = join(folder, `${member}.toml`);
-    writeFileSync(file, this.settingsOf(member));
+    writeFileSync(file, this.formatSettings(member));
     const operatorFile = join(folder, 'operator.json');
     if (operator !== undefined) writeFileSync(operatorFile, JSON.stringify(operator));
-    const flags = [...deployFlags(), ...(nodeFlags?.(member) ?? [])];
+    const flags = [...readDeployFlags(), ...(nodeFlags?.(member) ?? [])];
     const operatorArgs = operator === undefined ? [] : ['--operator', operatorFile];
     const child = spawn(process.execPath, [...flags, 'target/main.cjs', '--config', file, ...operatorArgs], {
       stdio: ['ignore', 'ignore', openSync(join(folder, `${member}.log`), 'a')],
@@ -121,9 +157,9 @@
     this.processes.set(member, child);
   }
 
-  /** Ends all processes, of which paused ones can't be asked. */
+  /** Ends all processes. The default signal also ends suspended ones, which cannot handle any other. */
   async stop(signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
-    const ends = [...this.processes.values()].map(
+    const exits = [...this.processes.values()].map(
       (child) =>
         new Promise<void>((resolve) => {
           if (child.exitCode !== null || child.signalCode !== null) return resolve();
@@ -131,53 +167,54 @@
           child.kill(signal);
         }),
     );
-    await Promise.all(ends);
-    this.usersOfAll.close();
+    await Promise.all(exits);
+    this.startedUsers.close();
     this.network.close();
   }
 
-  private boot(place: ConstructorParameters<typeof SimWorker>[0]): SimWorker {
-    this.booted++;
+  private startWorker(machine: ConstructorParameters<typeof SimWorker>[0]): SimWorker {
+    this.workerCount++;
     const { reportS, leaseS } = this.options.timing;
     const controllers = [...this.addresses].map(([member, { user }]) => ({ member, address: user }));
-    const address = `127.${this.addressPart}.${this.booted >> 8}.${this.booted & 255}:${WORKER_PORT}`;
+    const address = `127.${this.addressBlock}.${this.workerCount >> 8}.${this.workerCount & 255}:${WORKER_PORT}`;
     const timing = { reportS, leaseS, fetchS: 1 };
-    const { network, rules, finished } = this;
+    const { network, rules, finishedTasks } = this;
     const { random } = this.options;
-    const port = {
-      attach: (host: string, at: string, handler: SimHandler) => void network.attach(host, at, handler),
-      caller: () => network.caller(),
+    const networkPort = {
+      attach: (host: string, address: string, handler: SimHandler) =>
+        void network.attach(host, address, handler),
+      createCaller: () => network.createCaller(),
     };
     return new SimWorker(
-      { ...place, address },
+      { ...machine, address },
       controllers,
       timing,
       backgroundClock,
-      port,
+      networkPort,
       rules,
       random,
-      finished,
+      finishedTasks,
     );
   }
 
-  private settingsOf(member: string): string {
-    const at = this.addresses.get(member)!;
+  private formatSettings(member: string): string {
+    const addresses = this.addresses.get(member)!;
     const { controllers, machines, timing } = this.options;
-    const zoneOf = (name: string): string => ZONES[this.members.indexOf(name) % 2]!;
+    const getZone = (name: string): string => ZONES[this.members.indexOf(name) % 2]!;
     const seeds = this.members
       .filter((other) => other !== member)
       .map(
         (other) =>
-          `[[seeds]]\nmember = "${other}"\ndomain = "${zoneOf(other)}"\naddress = "${this.addresses.get(other)!.peer}"\n`,
+          `[[seeds]]\nmember = "${other}"\ndomain = "${getZone(other)}"\naddress = "${this.addresses.get(other)!.peer}"\n`,
       );
     return `member = "${member}"
-domain = "${zoneOf(member)}"
-public_addr = "${at.user}"
-cluster_listen = "${at.peer}"
+domain = "${getZone(member)}"
+public_addr = "${addresses.user}"
+cluster_listen = "${addresses.peer}"
 ${seeds.join('')}
 [endpoints]
-cloud = "${at.cloud}"
-state = "${at.state}"
+cloud = "${addresses.cloud}"
+state = "${addresses.state}"
 [deployment]
 count = ${controllers}
 zones = ["east", "west"]
@@ -208,14 +245,14 @@
   }
 }
 
-/** No answer at all to those that are cut off. */
-const unless =
-  (cut: ReadonlySet<string>, handler: SimHandler): SimHandler =>
+/** Returns a handler that never answers the callers in `ignored`. */
+const ignoreCallers =
+  (ignored: ReadonlySet<string>, handler: SimHandler): SimHandler =>
   (from, ...request) =>
-    cut.has(from) ? Promise.resolve(undefined) : handler(from, ...request);
+    ignored.has(from) ? Promise.resolve(undefined) : handler(from, ...request);
 
-/** The flags of node with which the deploy file starts a controller. */
-function deployFlags(): string[] {
-  const words = String(parse(readFileSync('deploy/service.toml', 'utf8')).run).split(' ');
-  return words.slice(1, words.indexOf('target/main.cjs'));
+/** Reads the node flags with which the deploy file starts a controller. */
+function readDeployFlags(): string[] {
+  const commandWords = String(parse(readFileSync('deploy/service.toml', 'utf8')).run).split(' ');
+  return commandWords.slice(1, commandWords.indexOf('target/main.cjs'));
 }
--- a/src/simulation/loopback-network.ts
+++ b/src/simulation/loopback-network.ts
@@ -6,7 +6,7 @@
 import { serveHttp } from '../http/server.js';
 import type { SimHandler } from './network.js';
 
-/** The clock of the stand-ins: what they have still to do does not keep a process from ending. */
+/** The clock of the simulated services. Its pending timers do not keep a process from exiting. */
 export const backgroundClock: Clock = {
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
@@ -16,30 +16,35 @@
   },
 };
 
-/** Port at which the workers of a cluster take commands, each on an address of its own. */
+/** Port at which workers accept commands. Each worker has its own loopback address. */
 export const WORKER_PORT = 9000;
 
-/** A stand-in that refuses connections would be measured as our failure. */
-const MAX_STAND_IN_CONNECTIONS = 50_000;
+/**
+ * High enough that a simulated service never refuses a connection, which would count as a failure of the controllers.
+ */
+const MAX_SERVICE_CONNECTIONS = 50_000;
 
-/** The part of the simulated network that the stand-ins use, over real sockets. */
+/** Offers over real sockets the part of the simulated network's interface that the simulated services use. */
 export class LoopbackNetwork {
   private readonly servers: Server[] = [];
   private readonly callers: SocketCaller[] = [];
   private readonly sockets = new Set<Socket>();
-  private closed = false;
+  private isClosed = false;
 
   constructor(private readonly log: Logger) {}
 
-  /** `from` names who is known to call this address; '': anybody. */
-  async attach(_host: string, address: string, handler: SimHandler, from = ''): Promise<void> {
+  /**
+   * Serves HTTP at the address. The handler gets `caller` as the sender of every request. Empty if the sender is
+   * unknown.
+   */
+  async attach(_host: string, address: string, handler: SimHandler, caller = ''): Promise<void> {
     const server = await serveHttp(
       address,
-      MAX_STAND_IN_CONNECTIONS,
+      MAX_SERVICE_CONNECTIONS,
       (request, respond) => {
         const target = request.query === '' ? request.path : `${request.path}?${request.query}`;
         const body = request.body === '' ? undefined : request.body;
-        void handler(from, request.method, target, body).then((response) => {
+        void handler(caller, request.method, target, body).then((response) => {
           if (response) respond(response);
         });
       },
@@ -51,41 +56,46 @@
       this.sockets.add(socket);
       socket.on('close', () => this.sockets.delete(socket));
     });
-    if (this.closed) server.close();
+    if (this.isClosed) server.close();
   }
 
-  caller(): HttpCaller {
+  /** Creates a client of its own for one host. */
+  createCaller(): HttpCaller {
     const caller = new SocketCaller(backgroundClock, 1, 4);
     this.callers.push(caller);
     return caller;
   }
 
-  /** A part of the loopback addresses, for the workers of one cluster: 127.N.x.y, with N that no other cluster has. */
-  async ownPart(): Promise<number> {
-    for (let part = 1; part < 255; part++) {
+  /**
+   * Reserves the loopback addresses 127.N.x.y for the workers of one cluster, and returns an N that no other cluster
+   * uses.
+   */
+  async reserveAddressBlock(): Promise<number> {
+    for (let block = 1; block < 255; block++) {
       const lock = createServer();
       const isFree = await new Promise<boolean>((resolve) => {
         lock.once('error', () => resolve(false));
-        lock.listen(WORKER_PORT, `127.${part}.255.254`, () => resolve(true));
+        lock.listen(WORKER_PORT, `127.${block}.255.254`, () => resolve(true));
       });
       if (!isFree) continue;
-      // Held until the end: it keeps others off.
+      // The lock stays open until this network is closed, so that no other cluster takes the same block.
       this.servers.push(lock);
-      return part;
+      return block;
     }
-    throw new Error('no part of the loopback addresses is free');
+    throw new Error('no block of loopback addresses is free');
   }
 
+  /** Closes all servers, connections and callers. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     for (const server of this.servers) server.close();
     for (const socket of this.sockets) socket.destroy();
     for (const caller of this.callers) caller.close();
   }
 }
 
-/** Ports of the loopback address that are free now, each another one. */
-export async function freePorts(count: number): Promise<number[]> {
+/** Finds distinct ports of the loopback address that are free now. */
+export async function findFreePorts(count: number): Promise<number[]> {
   const servers = await Promise.all(
     Array.from(
       { length: count },
--- a/src/simulation/loopback-users.ts
+++ b/src/simulation/loopback-users.ts
@@ -1,25 +1,26 @@
 import { SocketCaller } from '../http/client.js';
 import { backgroundClock } from './loopback-network.js';
-import type { SimJob, SimRules } from './rules.js';
+import type { SimJob, RuleChecker } from './rules.js';
 
-const POLL_EVERY_MS = 5_000;
-const RETRY_MS = 1_000;
-const CALL_MS = 5_000;
+const POLL_INTERVAL_MS = 5_000;
+const RETRY_DELAY_MS = 1_000;
+const CALL_TIMEOUT_MS = 5_000;
 
-/** Submits jobs to controllers on loopback, and asks about each. */
+/** Users that submit jobs to controllers on loopback and poll the state of each. */
 export class LoopbackUsers {
-  private readonly caller = new SocketCaller(backgroundClock, 8, 8);
-  private count = 0;
+  private readonly httpCaller = new SocketCaller(backgroundClock, 8, 8);
+  private jobCount = 0;
 
   constructor(
-    private readonly rules: SimRules,
+    private readonly rules: RuleChecker,
     private readonly addresses: readonly string[],
     private readonly random: () => number,
   ) {}
 
+  /** Submits a job, retries until it is accepted, and polls it from then on. Returns its uid. */
   submit(kind: SimJob['kind'], tasks: number, runS: number): string {
-    const uid = `job-${String(this.count++).padStart(6, '0')}`;
-    this.rules.add({
+    const uid = `job-${String(this.jobCount++).padStart(6, '0')}`;
+    this.rules.trackJob({
       ...{ uid, team: 'blue', kind, tasks, cpus: 2, spot: true, scatter: false, oneZone: false },
       ...{ zone: null, runS, dueS: null, dependencies: [] },
     });
@@ -30,36 +31,37 @@
       ...{ yard: null, oneZone: false, scatter: false, loaner: true, guessS: isService ? 0 : runS },
       ...{ pinS: 0, pinningS: 0, dueS: isService ? null : runS * 2 + 15 },
     };
-    this.send(uid, JSON.stringify(body));
+    this.sendSubmission(uid, JSON.stringify(body));
     return uid;
   }
 
+  /** Closes all connections. */
   close(): void {
-    this.caller.close();
+    this.httpCaller.close();
   }
 
-  private send(uid: string, body: string): void {
-    this.ask('POST', '/submissions', body).then(
-      (status) => (status < 300 ? this.poll(uid) : this.sendLater(uid, body)),
-      () => this.sendLater(uid, body),
+  private sendSubmission(uid: string, body: string): void {
+    this.sendRequest('POST', '/submissions', body).then(
+      (status) => (status < 300 ? this.poll(uid) : this.retrySubmission(uid, body)),
+      () => this.retrySubmission(uid, body),
     );
   }
 
-  private sendLater(uid: string, body: string): void {
-    backgroundClock.after(RETRY_MS, () => this.send(uid, body));
+  private retrySubmission(uid: string, body: string): void {
+    backgroundClock.after(RETRY_DELAY_MS, () => this.sendSubmission(uid, body));
   }
 
   private poll(uid: string): void {
-    backgroundClock.after(POLL_EVERY_MS, () => {
-      this.ask('GET', `/submissions/${uid}`).then(
+    backgroundClock.after(POLL_INTERVAL_MS, () => {
+      this.sendRequest('GET', `/submissions/${uid}`).then(
         () => this.poll(uid),
         () => this.poll(uid),
       );
     });
   }
 
-  private async ask(method: string, path: string, body?: string): Promise<number> {
+  private async sendRequest(method: string, path: string, body?: string): Promise<number> {
     const address = this.addresses[Math.floor(this.random() * this.addresses.length)]!;
-    return (await this.caller.call(address, method, path, body, CALL_MS)).status;
+    return (await this.httpCaller.call(address, method, path, body, CALL_TIMEOUT_MS)).status;
   }
 }
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -4,6 +4,7 @@
 import type { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 import { NO_OBSERVER, type ObservedRequest, type TrafficObserver } from './traffic-observer.js';
 
+/** Handles a request that arrives at a simulated host. Resolves to undefined if the caller gets no answer. */
 export type SimHandler = (
   from: string,
   method: string,
@@ -11,164 +12,174 @@
   body: string | undefined,
 ) => Promise<HttpResponse | undefined>;
 
-interface Cut {
+/** A broken link in one direction, with the deliveries that wait for it to heal. */
+interface Partition {
   from: string;
   to: string;
-  held: (() => void)[];
+  heldMessages: (() => void)[];
 }
 
-const wayOf = (from: string, to: string): string => `${from} > ${to}`;
+const formatLink = (from: string, to: string): string => `${from} > ${to}`;
 
-/** Carries messages between named hosts. A cut holds packets back and delivers them, in order, when it ends. */
+/** Carries messages between named hosts. A partition holds messages back and delivers them in order when it heals. */
 export class SimNetwork {
-  private readonly hosts = new Map<string, SimHandler>();
-  /** By who sends and who would receive. */
-  private readonly cuts = new Map<string, Cut>();
+  private readonly handlers = new Map<string, SimHandler>();
+  /** Active partitions, by the sender and receiver of the link. */
+  private readonly partitions = new Map<string, Partition>();
   private readonly zones = new Map<string, string>();
-  private zonesCut = false;
-  /** Hosts to which nothing is delivered, while what they send arrives. */
-  private readonly deaf = new Set<string>();
-  /** Ms by which copies of a host's requests come late; undefined: none do. */
-  private readonly copies = new Map<string, () => number>();
-  /** Hosts whose own requests reach nobody, while what is sent to them arrives and is answered. */
-  private readonly silenced = new Set<string>();
-  private readonly addresses = new Map<string, string>();
-  /** Hosts that stand still, with what is to happen there once they go on. */
-  private readonly halted = new Map<string, (() => void)[]>();
-  /** Hosts of which nothing gets out any more, with what they sent. */
-  private readonly mute = new Map<string, (() => void)[]>();
+  private areZonesPartitioned = false;
+  /** Hosts to which nothing is delivered, while their own messages arrive. */
+  private readonly hostsWithoutInbound = new Set<string>();
+  /** For each host whose requests are duplicated, a function that draws the delay of a duplicate in milliseconds. */
+  private readonly duplicateDelays = new Map<string, () => number>();
+  /** Hosts whose own requests are lost, while requests to them arrive and are answered. */
+  private readonly hostsWithoutOwnRequests = new Set<string>();
+  private readonly hostsByAddress = new Map<string, string>();
+  /** Paused hosts, with the actions to run when they resume. */
+  private readonly pausedHosts = new Map<string, (() => void)[]>();
+  /** Hosts whose outbound messages are held back, with those messages. */
+  private readonly heldOutbound = new Map<string, (() => void)[]>();
 
   constructor(
     private readonly clock: SimulatedClock,
     private readonly random: () => number,
-    /** Is shown every message. */
+    /** Receives every message. */
     readonly observer: TrafficObserver = NO_OBSERVER,
   ) {}
 
+  /** Registers the handler of a host and the address at which it is reached. */
   attach(host: string, address: string, handler: SimHandler): void {
-    this.hosts.set(host, handler);
-    this.addresses.set(address, host);
+    this.handlers.set(host, handler);
+    this.hostsByAddress.set(address, host);
   }
 
+  /** Removes a host. Requests to it are refused. */
   detach(host: string): void {
-    this.hosts.delete(host);
+    this.handlers.delete(host);
   }
 
-  cut(a: string, b: string): void {
-    this.addCut(a, b);
-    this.addCut(b, a);
+  /** Breaks the link between two hosts in both directions. */
+  partition(a: string, b: string): void {
+    this.addPartition(a, b);
+    this.addPartition(b, a);
   }
 
-  /** What the host sends arrives, answers and commands do not reach it. */
-  deafen(host: string): void {
-    this.deaf.add(host);
+  /** Drops everything that is sent to the host, responses included. The host's own messages still arrive. */
+  dropInbound(host: string): void {
+    this.hostsWithoutInbound.add(host);
   }
 
-  /** The host reaches nobody by itself; what is sent to it arrives and is answered. */
-  silence(host: string): void {
-    this.silenced.add(host);
+  /** Drops the host's own requests. Requests to the host still arrive and are answered. */
+  dropOwnRequests(host: string): void {
+    this.hostsWithoutOwnRequests.add(host);
   }
 
-  /** Each request of the host arrives once more, `lateMs` later. */
-  copyLate(host: string, lateMs: () => number): void {
-    this.copies.set(host, lateMs);
+  /** Delivers a duplicate of each request of the host, after a delay that `drawDelayMs` draws. */
+  duplicateRequests(host: string, drawDelayMs: () => number): void {
+    this.duplicateDelays.set(host, drawDelayMs);
   }
 
-  /** What the host sends stays in its buffers from now on. */
-  holdBack(host: string): void {
-    this.mute.set(host, []);
+  /** Holds back everything that the host sends from now on. */
+  holdOutbound(host: string): void {
+    this.heldOutbound.set(host, []);
   }
 
-  /** The host stands still: its clock runs on, and what comes waits. */
-  halt(host: string): void {
-    this.halted.set(host, []);
+  /** Pauses the host. Its clock runs on, and arriving messages and due timers wait. */
+  pauseHost(host: string): void {
+    this.pausedHosts.set(host, []);
   }
 
-  /** It goes on: all that waited happens at once, and what it had sent gets out. */
-  resume(host: string): void {
-    const waiting = [this.halted.get(host) ?? [], this.mute.get(host) ?? []].flat();
-    this.halted.delete(host);
-    this.mute.delete(host);
-    for (const run of waiting) this.clock.after(1 + this.random() * 3, run);
+  /** Resumes the host. Everything that waited happens without further delay, and messages held back are sent. */
+  resumeHost(host: string): void {
+    const pendingActions = [this.pausedHosts.get(host) ?? [], this.heldOutbound.get(host) ?? []].flat();
+    this.pausedHosts.delete(host);
+    this.heldOutbound.delete(host);
+    for (const run of pendingActions) this.clock.after(1 + this.random() * 3, run);
   }
 
-  /** Runs something on a host, once that does not stand still. */
-  on(host: string, run: () => void): void {
-    const waiting = this.halted.get(host);
-    if (waiting) waiting.push(run);
+  /** Runs an action on a host, after the end of its pause if it is paused. */
+  runOnHost(host: string, run: () => void): void {
+    const pendingActions = this.pausedHosts.get(host);
+    if (pendingActions) pendingActions.push(run);
     else run();
   }
 
+  /** Assigns a host to a zone. */
   setZone(host: string, zone: string): void {
     this.zones.set(host, zone);
   }
 
-  /** Cuts all hosts of different zones from each other; hosts without a zone stay reachable. */
+  /** Partitions all zones from each other. Hosts without a zone stay reachable. */
   cutZones(): void {
-    this.zonesCut = true;
+    this.areZonesPartitioned = true;
   }
 
-  private cutBetween(from: string, to: string): Cut | undefined {
-    const known = this.cuts.get(wayOf(from, to));
-    if (known || !this.zonesCut) return known;
+  private findPartition(from: string, to: string): Partition | undefined {
+    const existing = this.partitions.get(formatLink(from, to));
+    if (existing || !this.areZonesPartitioned) return existing;
     const [a, b] = [this.zones.get(from), this.zones.get(to)];
     if (a === undefined || b === undefined || a === b) return undefined;
-    return this.addCut(from, to);
+    return this.addPartition(from, to);
   }
 
-  private addCut(from: string, to: string): Cut {
-    const known = this.cuts.get(wayOf(from, to));
-    if (known) return known;
-    const cut: Cut = { from, to, held: [] };
-    this.cuts.set(wayOf(from, to), cut);
-    return cut;
+  private addPartition(from: string, to: string): Partition {
+    const existing = this.partitions.get(formatLink(from, to));
+    if (existing) return existing;
+    const partition: Partition = { from, to, heldMessages: [] };
+    this.partitions.set(formatLink(from, to), partition);
+    return partition;
   }
 
+  /** Heals all partitions, delivers the messages that they held back, and stops dropping messages. */
   heal(): void {
-    this.zonesCut = false;
-    this.deaf.clear();
-    this.silenced.clear();
-    const cuts = [...this.cuts.values()];
-    this.cuts.clear();
-    for (const cut of cuts) for (const deliver of cut.held) this.clock.after(1, deliver);
+    this.areZonesPartitioned = false;
+    this.hostsWithoutInbound.clear();
+    this.hostsWithoutOwnRequests.clear();
+    const partitions = [...this.partitions.values()];
+    this.partitions.clear();
+    for (const partition of partitions)
+      for (const deliver of partition.heldMessages) this.clock.after(1, deliver);
   }
 
+  /** Delivers a message after a random delay, unless a fault drops it or holds it back. */
   deliver(from: string, to: string, run: () => void): void {
-    if (this.deaf.has(to)) return;
-    const cut = this.cutBetween(from, to);
-    const held = cut?.held ?? this.mute.get(from);
-    if (held) held.push(run);
-    else this.clock.after(1 + this.random() * 3, () => this.on(to, run));
+    if (this.hostsWithoutInbound.has(to)) return;
+    const partition = this.findPartition(from, to);
+    const heldMessages = partition?.heldMessages ?? this.heldOutbound.get(from);
+    if (heldMessages) heldMessages.push(run);
+    else this.clock.after(1 + this.random() * 3, () => this.runOnHost(to, run));
   }
 
-  caller(from: string, isAlive: () => boolean): HttpCaller {
+  /** Creates an HTTP client of a host. A client that is no longer alive ignores responses. */
+  createCaller(from: string, isAlive: () => boolean): HttpCaller {
     return {
       call: (address, method, target, body, timeoutMs) =>
         new Promise((resolve, reject) => {
-          const to = this.addresses.get(address) ?? address;
+          const to = this.hostsByAddress.get(address) ?? address;
           const request: ObservedRequest = { from, to, method, target, body };
-          let ended = false;
-          const end = (run: () => void): void => {
-            if (ended || !isAlive()) return;
-            ended = true;
+          let isSettled = false;
+          const settleOnce = (run: () => void): void => {
+            if (isSettled || !isAlive()) return;
+            isSettled = true;
             run();
           };
           this.clock.after(timeoutMs, () =>
-            this.on(from, () =>
-              end(() => {
+            this.runOnHost(from, () =>
+              settleOnce(() => {
                 this.observer.callFailed(request, 'timed out');
                 reject(new CallError('unclear', 'timed out'));
               }),
             ),
           );
           this.observer.requestSent(request);
-          if (this.silenced.has(from)) return;
-          const lateMs = this.copies.get(from);
-          if (lateMs) this.clock.after(lateMs(), () => void this.hosts.get(to)?.(from, method, target, body));
+          if (this.hostsWithoutOwnRequests.has(from)) return;
+          const drawDelayMs = this.duplicateDelays.get(from);
+          if (drawDelayMs)
+            this.clock.after(drawDelayMs(), () => void this.handlers.get(to)?.(from, method, target, body));
           this.deliver(from, to, () => {
-            const handler = this.hosts.get(to);
+            const handler = this.handlers.get(to);
             if (!handler) {
-              end(() => {
+              settleOnce(() => {
                 this.observer.callFailed(request, 'refused');
                 reject(new CallError('unsent', 'refused'));
               });
@@ -178,7 +189,7 @@
             void handler(from, method, target, body).then((response) => {
               if (!response) return;
               this.deliver(to, from, () =>
-                end(() => {
+                settleOnce(() => {
                   this.observer.responseArrived(request, response.status, response.body);
                   resolve(response);
                 }),
@@ -190,7 +201,8 @@
   }
 }
 
-function formerly(message: PeerMessage): PeerMessage | undefined {
+/** The message as the version without forwarding of cancellations would send it. Undefined if it would send none. */
+function toFormerVersion(message: PeerMessage): PeerMessage | undefined {
   if (message.kind === 'cancellations') return undefined;
   if (message.kind === 'leaseVoteRequest')
     return { kind: 'leaseVoteRequest', round: message.round, term: message.term };
@@ -198,30 +210,31 @@
   return { kind: 'leaseVote', round: message.round, term: message.term, isGranted: message.isGranted };
 }
 
-/** Messages between controllers over the simulated network. */
-export class SimPeers {
+/** Carries messages between controllers over the simulated network. */
+export class SimPeerNetwork {
   private readonly listeners = new Map<string, (member: string, message: PeerMessage) => void>();
-  /** Controllers that say only what the version before the passing on of cancellations said. */
+  /** Controllers that send only what the version without forwarding of cancellations sends. */
   readonly former = new Set<string>();
 
   constructor(private readonly network: SimNetwork) {}
 
-  channel(member: string, isAlive: () => boolean): PeerTransport {
-    const own: ((member: string, message: PeerMessage) => void)[] = [];
+  /** Creates the transport of a controller's process. */
+  createTransport(member: string, isAlive: () => boolean): PeerTransport {
+    const ownListeners: ((member: string, message: PeerMessage) => void)[] = [];
     this.listeners.set(member, (from, message) => {
-      if (isAlive()) for (const listener of own) listener(from, message);
+      if (isAlive()) for (const listener of ownListeners) listener(from, message);
     });
     return {
       send: (to, message) => {
-        const said = this.former.has(member) ? formerly(message) : message;
-        if (isAlive() && said) {
-          this.network.observer.peerMessageSent(member, to, said);
-          this.network.deliver(member, to, () => this.listeners.get(to)?.(member, said));
+        const sent = this.former.has(member) ? toFormerVersion(message) : message;
+        if (isAlive() && sent) {
+          this.network.observer.peerMessageSent(member, to, sent);
+          this.network.deliver(member, to, () => this.listeners.get(to)?.(member, sent));
         }
         return true;
       },
       refusesConnections: () => false,
-      onMessage: (listener) => own.push(listener),
+      onMessage: (listener) => ownListeners.push(listener),
     };
   }
 }
--- a/src/simulation/rules.ts
+++ b/src/simulation/rules.ts
@@ -1,4 +1,4 @@
-/** A job as its user sees it. */
+/** A job as its user describes it. */
 export interface SimJob {
   uid: string;
   team: string;
@@ -8,247 +8,295 @@
   spot: boolean;
   scatter: boolean;
   oneZone: boolean;
-  /** The only zone allowed. */
+  /** The only zone in which tasks may run. Null if any zone is allowed. */
   zone: string | null;
   runS: number;
+  /** Seconds after its acceptance by which the job is due. Null if it has no deadline. */
   dueS: number | null;
-  /** Jobs that must be done before any task of it starts. */
+  /** Jobs that must be done before any task of this job starts. */
   dependencies: string[];
 }
 
-interface Seen {
+/** What users were told about a job, and what its tasks did. */
+interface TrackedJob {
   job: SimJob;
   accepted: boolean;
+  /** The final phase that its user was told. It stays `open` until then. */
   told: 'open' | 'done' | 'withdrawn';
-  calledOff: boolean;
-  cancelledMs: number;
+  isCancelRequested: boolean;
+  cancelConfirmedMs: number;
   done: Set<number>;
   submittedMs: number;
-  /** When a task of it first began, and when its user was last answered. */
-  begunMs: number;
-  /** Since when it waits although a machine has room. */
-  waitsSinceMs: number;
-  answeredMs: number;
-  /** Task to the machine that it is on. */
-  on: Map<number, { node: string; zone: string }>;
+  /** When the first of its tasks started. Infinity if none has. */
+  firstStartMs: number;
+  /** Since when tasks have been waiting although a machine has room for one. Infinity if none is waiting. */
+  waitingSinceMs: number;
+  /** When its user last got an answer about it. */
+  lastAnswerMs: number;
+  /** The machine of each running task, by the index of the task. */
+  runningTasks: Map<number, { node: string; zone: string }>;
 }
 
-/** Watches the simulated machines and users for the protocol's rules; a broken one is kept as a line. */
-export class SimRules {
+/**
+ * Checks the rules of the protocol against what simulated machines and users see, and records each violation as a
+ * line.
+ */
+export class RuleChecker {
+  /** One line for each violation, with the time in seconds and the name of the rule. */
   readonly broken: string[] = [];
-  readonly jobs = new Map<string, Seen>();
-  /** Told when the last task of a job completes. */
-  readonly onLastDone: ((uid: string) => void)[] = [];
-  started = 0;
-  /** Starts so long after a confirmed cancellation that their command was given after it. */
+  readonly jobs = new Map<string, TrackedJob>();
+  /** Called with the uid of a job when its last task completes. */
+  readonly completionListeners: ((uid: string) => void)[] = [];
+  /** Number of task starts. */
+  startCount = 0;
+  /** Task starts so long after a confirmed cancellation that the start command must have been given after it. */
   readonly startedCancelled: string[] = [];
-  /** Starts of tasks that had started before. */
-  startedAgain = 0;
-  private readonly begun = new Set<string>();
-  /** Tasks that ended because their machine was taken or returned. */
-  killedByEnd = 0;
-  /** Tasks that ended because their worker's lease ran out. */
-  killedByLease = 0;
+  /** Number of starts of tasks that had started before. */
+  restartCount = 0;
+  private readonly startedTasks = new Set<string>();
+  /** Number of tasks that ended because their machine was terminated or returned. */
+  tasksKilledWithMachine = 0;
+  /** Number of tasks that ended because their worker's lease expired. */
+  tasksKilledByLeaseExpiry = 0;
 
   constructor(
     private readonly nowMs: () => number,
-    private readonly limits: Map<string, number>,
+    private readonly teamCpuLimits: Map<string, number>,
     private readonly cancelS: number,
-    /** Seconds after a confirmed cancellation in which a start command may still be under way. */
-    private readonly underWayS: number,
+    /** Seconds after a confirmed cancellation during which an earlier start command may still be in transit. */
+    private readonly commandTransitS: number,
   ) {}
 
-  add(job: SimJob): void {
+  /** Registers a job. This must happen before any other event of the job is recorded. */
+  trackJob(job: SimJob): void {
     this.jobs.set(job.uid, {
       job,
       accepted: false,
       told: 'open',
-      calledOff: false,
-      cancelledMs: Infinity,
+      isCancelRequested: false,
+      cancelConfirmedMs: Infinity,
       done: new Set(),
       submittedMs: this.nowMs(),
-      begunMs: Infinity,
-      waitsSinceMs: Infinity,
-      answeredMs: this.nowMs(),
-      on: new Map(),
+      firstStartMs: Infinity,
+      waitingSinceMs: Infinity,
+      lastAnswerMs: this.nowMs(),
+      runningTasks: new Map(),
     });
   }
 
-  start(uid: string, task: number, place: { node: string; zone: string; spot: boolean }): void {
-    const seen = this.jobs.get(uid)!;
-    const { job } = seen;
-    this.started++;
-    if (this.begun.has(`${uid}/${task}`)) this.startedAgain++;
-    this.begun.add(`${uid}/${task}`);
-    const other = seen.on.get(task);
-    if (other) this.broke(`ran_twice: ${uid}/${task} on ${other.node} and ${place.node}`);
-    if (place.spot && !job.spot) this.broke(`wrong_place: ${uid}/${task} on spot`);
-    const undone = job.dependencies.find((before) => !this.isDone(before));
-    if (undone !== undefined) this.broke(`too_early: ${uid}/${task} before ${undone}`);
-    const elsewhere = [...seen.on.values()].some((p) => p.zone !== place.zone);
-    if ((job.oneZone && elsewhere) || (job.zone !== null && job.zone !== place.zone))
-      this.broke(`wrong_place: ${uid}/${task} in ${place.zone}`);
-    if (job.scatter && this.inZone(seen, place.zone) + 1 > Math.ceil(job.tasks / 2))
-      this.broke(`wrong_place: ${uid} in ${place.zone}`);
-    if (this.nowMs() > seen.cancelledMs + this.cancelS * 1000)
-      this.broke(`ran_cancelled: ${uid}/${task} starts`);
-    else if (this.nowMs() > seen.cancelledMs + this.underWayS * 1000)
+  /** Records that a machine starts a task, and checks every rule about starts. */
+  recordTaskStart(uid: string, task: number, machine: { node: string; zone: string; spot: boolean }): void {
+    const tracked = this.jobs.get(uid)!;
+    const { job } = tracked;
+    this.startCount++;
+    if (this.startedTasks.has(`${uid}/${task}`)) this.restartCount++;
+    this.startedTasks.add(`${uid}/${task}`);
+    const otherMachine = tracked.runningTasks.get(task);
+    if (otherMachine)
+      this.recordViolation(`ran_twice: ${uid}/${task} on ${otherMachine.node} and ${machine.node}`);
+    if (machine.spot && !job.spot) this.recordViolation(`wrong_place: ${uid}/${task} on spot`);
+    const unfinishedDependency = job.dependencies.find((dependency) => !this.isDone(dependency));
+    if (unfinishedDependency !== undefined)
+      this.recordViolation(`too_early: ${uid}/${task} before ${unfinishedDependency}`);
+    const runsInOtherZone = [...tracked.runningTasks.values()].some(
+      (running) => running.zone !== machine.zone,
+    );
+    if ((job.oneZone && runsInOtherZone) || (job.zone !== null && job.zone !== machine.zone))
+      this.recordViolation(`wrong_place: ${uid}/${task} in ${machine.zone}`);
+    if (job.scatter && this.countRunningInZone(tracked, machine.zone) + 1 > Math.ceil(job.tasks / 2))
+      this.recordViolation(`wrong_place: too many tasks of ${uid} in ${machine.zone}`);
+    if (this.nowMs() > tracked.cancelConfirmedMs + this.cancelS * 1000)
+      this.recordViolation(`ran_cancelled: ${uid}/${task} starts`);
+    else if (this.nowMs() > tracked.cancelConfirmedMs + this.commandTransitS * 1000)
       this.startedCancelled.push(`${(this.nowMs() / 1000).toFixed(3)} ${uid}/${task}`);
-    seen.on.set(task, place);
-    seen.begunMs = Math.min(seen.begunMs, this.nowMs());
-    let used = 0;
-    for (const each of this.jobs.values())
-      if (each.job.team === job.team) used += each.on.size * each.job.cpus;
-    if (used > (this.limits.get(job.team) ?? 0) + 1e-6) this.broke(`quota: ${job.team} uses ${used}`);
+    tracked.runningTasks.set(task, machine);
+    tracked.firstStartMs = Math.min(tracked.firstStartMs, this.nowMs());
+    let usedCpus = 0;
+    for (const other of this.jobs.values())
+      if (other.job.team === job.team) usedCpus += other.runningTasks.size * other.job.cpus;
+    if (usedCpus > (this.teamCpuLimits.get(job.team) ?? 0) + 1e-6)
+      this.recordViolation(`quota: ${job.team} uses ${usedCpus} CPUs`);
   }
 
-  /** Its user asked for its cancellation, or for that of a job that it needs. */
-  calledOff(uid: string): void {
-    this.jobs.get(uid)!.calledOff = true;
+  /** Records that the user asked to cancel the job, or a job that it depends on. */
+  recordCancelRequest(uid: string): void {
+    this.jobs.get(uid)!.isCancelRequested = true;
   }
 
-  private isCalledOff(uid: string): boolean {
-    const seen = this.jobs.get(uid);
-    return seen !== undefined && (seen.calledOff || seen.job.dependencies.some((b) => this.isCalledOff(b)));
+  private isCancelRequested(uid: string): boolean {
+    const tracked = this.jobs.get(uid);
+    return (
+      tracked !== undefined &&
+      (tracked.isCancelRequested ||
+        tracked.job.dependencies.some((dependency) => this.isCancelRequested(dependency)))
+    );
   }
 
   private isDone(uid: string): boolean {
-    const seen = this.jobs.get(uid)!;
-    return seen.done.size === seen.job.tasks;
+    const tracked = this.jobs.get(uid)!;
+    return tracked.done.size === tracked.job.tasks;
   }
 
-  /** When a user was first told that a job, or one that it needs, is cancelled. */
-  private cancelledMs(uid: string): number {
-    const seen = this.jobs.get(uid);
-    if (!seen) return Infinity;
-    return Math.min(seen.cancelledMs, ...seen.job.dependencies.map((before) => this.cancelledMs(before)));
+  /** When a user was first told that the job, or one that it depends on, is cancelled. Infinity if never. */
+  private cancelConfirmedMs(uid: string): number {
+    const tracked = this.jobs.get(uid);
+    if (!tracked) return Infinity;
+    return Math.min(
+      tracked.cancelConfirmedMs,
+      ...tracked.job.dependencies.map((dependency) => this.cancelConfirmedMs(dependency)),
+    );
   }
 
-  end(uid: string, task: number, node: string, done: boolean): void {
-    const seen = this.jobs.get(uid)!;
-    if (seen.on.get(task)?.node === node) seen.on.delete(task);
-    if (!done || seen.done.has(task)) return;
-    seen.done.add(task);
-    if (seen.done.size === seen.job.tasks) for (const listener of this.onLastDone) listener(uid);
+  /** Records that a task ended on a machine, completed or not. */
+  recordTaskEnd(uid: string, task: number, node: string, isCompleted: boolean): void {
+    const tracked = this.jobs.get(uid)!;
+    if (tracked.runningTasks.get(task)?.node === node) tracked.runningTasks.delete(task);
+    if (!isCompleted || tracked.done.has(task)) return;
+    tracked.done.add(task);
+    if (tracked.done.size === tracked.job.tasks)
+      for (const listener of this.completionListeners) listener(uid);
   }
 
-  submitted(uid: string, status: number): void {
-    const seen = this.jobs.get(uid)!;
-    if (status === 200 || status === 201) seen.accepted = true;
-    else if (seen.accepted && (status === 400 || status === 422))
-      this.broke(`forgotten: ${uid} got ${status}`);
+  /** Records the status of a response to a submission. */
+  recordSubmissionResponse(uid: string, status: number): void {
+    const tracked = this.jobs.get(uid)!;
+    if (status === 200 || status === 201) tracked.accepted = true;
+    else if (tracked.accepted && (status === 400 || status === 422))
+      this.recordViolation(`forgotten: ${uid} got ${status}`);
   }
 
-  told(uid: string, status: number, phase: string | undefined): void {
-    const seen = this.jobs.get(uid);
-    if (!seen) {
-      if (status === 200) this.broke(`invented: ${uid}`);
+  /** Records a response about a job's phase. The phase is undefined if the response holds none. */
+  recordStatusResponse(uid: string, status: number, phase: string | undefined): void {
+    const tracked = this.jobs.get(uid);
+    if (!tracked) {
+      if (status === 200) this.recordViolation(`invented: ${uid} was never submitted`);
       return;
     }
-    if (status === 404 && seen.accepted) this.broke(`forgotten: ${uid} got 404`);
+    if (status === 404 && tracked.accepted) this.recordViolation(`forgotten: ${uid} got 404`);
     if (status !== 200) return;
-    seen.answeredMs = this.nowMs();
-    if (seen.told !== 'open' && phase !== seen.told) this.broke(`went_back: ${uid} ${seen.told} to ${phase}`);
+    tracked.lastAnswerMs = this.nowMs();
+    if (tracked.told !== 'open' && phase !== tracked.told)
+      this.recordViolation(`went_back: ${uid} ${tracked.told} to ${phase}`);
     if (
       (phase === 'pending' || phase === 'running') &&
-      this.nowMs() > this.cancelledMs(uid) + this.cancelS * 1000
+      this.nowMs() > this.cancelConfirmedMs(uid) + this.cancelS * 1000
     )
-      this.broke(`orphaned: ${uid} is ${phase}`);
-    if (phase === 'withdrawn' && !this.isCalledOff(uid)) this.broke(`went_back: ${uid} withdrawn by nobody`);
+      this.recordViolation(`orphaned: ${uid} is ${phase}`);
+    if (phase === 'withdrawn' && !this.isCancelRequested(uid))
+      this.recordViolation(`went_back: ${uid} withdrawn without a cancel request`);
     if (phase === 'done') {
-      if (seen.done.size < seen.job.tasks) this.broke(`not_done: ${uid} has ${seen.done.size}`);
-      seen.told = 'done';
+      if (tracked.done.size < tracked.job.tasks)
+        this.recordViolation(`not_done: ${uid} has ${tracked.done.size} completed tasks`);
+      tracked.told = 'done';
     }
     if (phase === 'withdrawn') {
-      if (seen.told === 'open') seen.cancelledMs = this.nowMs();
-      seen.told = 'withdrawn';
+      if (tracked.told === 'open') tracked.cancelConfirmedMs = this.nowMs();
+      tracked.told = 'withdrawn';
     }
   }
 
   /**
-   * The users' addition, once all troubles are over: no accepted job goes unanswered for 75 s, at least half of each
-   * class, team and of a class's largest jobs is served, and the largest began within 4 minutes.
+   * Checks that users are served after all faults have ended. No accepted job may go unanswered for 75 s. At least
+   * half of the jobs of each kind, of each team, and of the largest jobs of a kind must be served. The largest jobs
+   * of a kind must have started within 4 minutes.
    */
-  checkServed(calmMs: number): void {
-    const now = this.nowMs();
-    const groups = new Map<string, { all: number; served: number }>();
-    const count = (name: string, served: boolean): void => {
-      const group = groups.get(name) ?? { all: 0, served: 0 };
-      groups.set(name, group);
-      group.all++;
-      if (served) group.served++;
+  checkServed(faultsEndMs: number): void {
+    const nowMs = this.nowMs();
+    const groups = new Map<string, { jobCount: number; servedCount: number }>();
+    const countJob = (name: string, isServed: boolean): void => {
+      const counts = groups.get(name) ?? { jobCount: 0, servedCount: 0 };
+      groups.set(name, counts);
+      counts.jobCount++;
+      if (isServed) counts.servedCount++;
     };
-    const wanted = [...this.jobs.values()].filter((seen) => seen.accepted && seen.told !== 'withdrawn');
-    for (const seen of wanted) {
-      const { uid, kind, team, tasks } = seen.job;
-      const unanswered = now - Math.max(seen.answeredMs, calmMs);
-      if (unanswered > 75_000) this.broke(`forgotten: ${uid} not answered for ${unanswered} ms`);
-      // What came a moment ago could not be served yet.
-      if (now - seen.submittedMs < 60_000) continue;
-      const served = kind === 'service' ? seen.on.size > 0 : seen.told === 'done';
-      count(kind, served);
-      count(team, served);
-      const most = Math.max(...wanted.filter((w) => w.job.kind === kind).map((w) => w.job.tasks));
-      if (tasks < most) continue;
-      count(`largest ${kind}`, served);
-      if (seen.begunMs - seen.submittedMs > 240_000) this.broke(`starved: ${uid}, of the largest, not begun`);
+    const expectedJobs = [...this.jobs.values()].filter(
+      (tracked) => tracked.accepted && tracked.told !== 'withdrawn',
+    );
+    for (const tracked of expectedJobs) {
+      const { uid, kind, team, tasks } = tracked.job;
+      const unansweredMs = nowMs - Math.max(tracked.lastAnswerMs, faultsEndMs);
+      if (unansweredMs > 75_000)
+        this.recordViolation(`forgotten: ${uid} not answered for ${unansweredMs} ms`);
+      // Jobs that were submitted within the last minute need not be served yet.
+      if (nowMs - tracked.submittedMs < 60_000) continue;
+      const isServed = kind === 'service' ? tracked.runningTasks.size > 0 : tracked.told === 'done';
+      countJob(kind, isServed);
+      countJob(team, isServed);
+      const mostTasks = Math.max(
+        ...expectedJobs.filter((other) => other.job.kind === kind).map((other) => other.job.tasks),
+      );
+      if (tasks < mostTasks) continue;
+      countJob(`largest ${kind}`, isServed);
+      if (tracked.firstStartMs - tracked.submittedMs > 240_000)
+        this.recordViolation(`starved: ${uid}, one of the largest jobs, did not start in time`);
     }
-    for (const [name, { all, served }] of groups)
-      if (served * 2 < all) this.broke(`starved: ${served} of ${all} of ${name} served`);
+    for (const [name, { jobCount, servedCount }] of groups)
+      if (servedCount * 2 < jobCount)
+        this.recordViolation(`starved: ${servedCount} of ${jobCount} of ${name} served`);
   }
 
-  /** Called now and then. */
-  check(): void {
-    for (const [uid, seen] of this.jobs) {
-      if (seen.on.size > 0 && this.nowMs() > seen.cancelledMs + this.cancelS * 1000)
-        this.broke(`ran_cancelled: ${uid} has ${seen.on.size}`);
+  /** Checks that no task of a cancelled job still runs after the deadline. To be called periodically. */
+  checkCancelledTasks(): void {
+    for (const [uid, tracked] of this.jobs) {
+      if (tracked.runningTasks.size > 0 && this.nowMs() > tracked.cancelConfirmedMs + this.cancelS * 1000)
+        this.recordViolation(`ran_cancelled: ${uid} has ${tracked.runningTasks.size} running tasks`);
     }
   }
 
   /**
-   * The users' addition, once all troubles are over: no job waits for long with nothing running while a machine that
-   * fits has room and its team is under its limit. `machines` are those that are up.
+   * Checks that, after all faults have ended, no job has tasks waiting for more than 90 s while a suitable machine
+   * has room and its team is under its limit. To be called periodically with the machines that are up.
    */
-  checkWaiting(
-    calmMs: number,
+  checkWaitingJobs(
+    faultsEndMs: number,
     machines: { name: string; zone: string; spot: boolean; cpus: number }[],
   ): void {
-    const now = this.nowMs();
-    const used = new Map<string, number>();
-    const teams = new Map<string, number>();
-    for (const { job, on } of this.jobs.values()) {
-      teams.set(job.team, (teams.get(job.team) ?? 0) + on.size * job.cpus);
-      for (const { node } of on.values()) used.set(node, (used.get(node) ?? 0) + job.cpus);
+    const nowMs = this.nowMs();
+    const usedCpusByMachine = new Map<string, number>();
+    const usedCpusByTeam = new Map<string, number>();
+    for (const { job, runningTasks } of this.jobs.values()) {
+      usedCpusByTeam.set(job.team, (usedCpusByTeam.get(job.team) ?? 0) + runningTasks.size * job.cpus);
+      for (const { node } of runningTasks.values())
+        usedCpusByMachine.set(node, (usedCpusByMachine.get(node) ?? 0) + job.cpus);
     }
-    for (const [uid, seen] of this.jobs) {
-      const { job } = seen;
-      const left =
-        job.kind === 'service' ? job.tasks - seen.on.size : job.tasks - seen.done.size - seen.on.size;
-      const fits = machines.some(
-        (m) =>
-          m.cpus - (used.get(m.name) ?? 0) >= job.cpus &&
-          (job.spot || !m.spot) &&
-          (job.zone ?? m.zone) === m.zone &&
-          !(job.oneZone && seen.on.size > this.inZone(seen, m.zone)) &&
-          !(job.scatter && this.inZone(seen, m.zone) >= Math.ceil(job.tasks / 2)),
+    for (const [uid, tracked] of this.jobs) {
+      const { job } = tracked;
+      const remainingTasks =
+        job.kind === 'service'
+          ? job.tasks - tracked.runningTasks.size
+          : job.tasks - tracked.done.size - tracked.runningTasks.size;
+      const hasFittingMachine = machines.some(
+        (machine) =>
+          machine.cpus - (usedCpusByMachine.get(machine.name) ?? 0) >= job.cpus &&
+          (job.spot || !machine.spot) &&
+          (job.zone ?? machine.zone) === machine.zone &&
+          !(job.oneZone && tracked.runningTasks.size > this.countRunningInZone(tracked, machine.zone)) &&
+          !(job.scatter && this.countRunningInZone(tracked, machine.zone) >= Math.ceil(job.tasks / 2)),
       );
-      const free = job.dependencies.every((before) => this.isDone(before));
-      const under = (teams.get(job.team) ?? 0) + job.cpus <= (this.limits.get(job.team) ?? 0);
-      const waits =
-        seen.accepted && seen.told === 'open' && left > 0 && free && fits && under && now >= calmMs;
-      if (!waits) seen.waitsSinceMs = Infinity;
-      else seen.waitsSinceMs = Math.min(seen.waitsSinceMs, now);
-      if (now - seen.waitsSinceMs <= 90_000) continue;
-      this.broke(`left_waiting: ${uid} has ${left} tasks waiting`);
-      seen.waitsSinceMs = Infinity;
+      const hasDependenciesDone = job.dependencies.every((dependency) => this.isDone(dependency));
+      const isUnderTeamLimit =
+        (usedCpusByTeam.get(job.team) ?? 0) + job.cpus <= (this.teamCpuLimits.get(job.team) ?? 0);
+      const isWaiting =
+        tracked.accepted &&
+        tracked.told === 'open' &&
+        remainingTasks > 0 &&
+        hasDependenciesDone &&
+        hasFittingMachine &&
+        isUnderTeamLimit &&
+        nowMs >= faultsEndMs;
+      if (!isWaiting) tracked.waitingSinceMs = Infinity;
+      else tracked.waitingSinceMs = Math.min(tracked.waitingSinceMs, nowMs);
+      if (nowMs - tracked.waitingSinceMs <= 90_000) continue;
+      this.recordViolation(`left_waiting: ${uid} has ${remainingTasks} tasks waiting`);
+      tracked.waitingSinceMs = Infinity;
     }
   }
 
-  private inZone(seen: Seen, zone: string): number {
-    return [...seen.on.values()].filter((place) => place.zone === zone).length;
+  private countRunningInZone(tracked: TrackedJob, zone: string): number {
+    return [...tracked.runningTasks.values()].filter((machine) => machine.zone === zone).length;
   }
 
-  private broke(line: string): void {
-    this.broken.push(`${(this.nowMs() / 1000).toFixed(3)} ${line}`);
+  private recordViolation(description: string): void {
+    this.broken.push(`${(this.nowMs() / 1000).toFixed(3)} ${description}`);
   }
 }
--- a/src/simulation/state-service.ts
+++ b/src/simulation/state-service.ts
@@ -1,123 +1,135 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpResponse } from '../http/message.js';
 
-interface Row {
+/** A stored key's value, revision and lease. The field names are those of the protocol. */
+interface StoredRow {
   v: unknown;
   stamp: number;
   hold?: number;
 }
 
+/** One change in the log of the service. An entry without a value is a deletion. */
 interface LogEntry {
   key: string;
   v?: unknown;
   stamp: number;
 }
 
-const json = (status: number, body: unknown): HttpResponse => ({ status, body: JSON.stringify(body) });
+const jsonResponse = (status: number, body: unknown): HttpResponse => ({
+  status,
+  body: JSON.stringify(body),
+});
 
-/** Stand-in of the state service, written from its protocol. */
+/** Simulated state service, written from the protocol of the real one. */
 export class SimStateService {
-  private readonly rows = new Map<string, Row>();
+  private readonly rows = new Map<string, StoredRow>();
   private readonly leases = new Map<number, { ttlMs: number; endMs: number }>();
   private log: LogEntry[] = [];
   private epoch = 1;
-  private holds = 0;
+  private lastLeaseId = 0;
   private readonly watchers = new Set<() => void>();
-  /** Callers that get 503; '*': everybody. */
+  /** Callers whose requests get a 503. The entry '*' stands for every caller. */
   readonly refused = new Set<string>();
-  /** Share of transactions that get no answer and are carried out seconds later, after newer ones. */
+  /** Share of transactions that get no answer and are executed seconds later, after newer ones. */
   lateShare = 0;
-  /** Ms by which answers come late, drawn for each; undefined: at once. */
+  /** Draws the delay of each request in milliseconds. Undefined if requests are handled without delay. */
   slowMs: (() => number) | undefined;
-  /** What one value and one transaction may hold; more gets 400. */
+  /** Limits of one value and one transaction. A transaction beyond them gets a 400. */
   limits = { valueBytes: 8192, txnOps: 12 };
-  /** Transactions that got 400 for that. */
+  /** Number of transactions that got a 400 because they exceeded the limits. */
   malformed = 0;
-  /** Requests, and puts and deletes, by the second in which they came. */
-  readonly requests: number[] = [];
-  readonly writes: number[] = [];
+  /** Number of requests in each second. */
+  readonly requestsBySecond: number[] = [];
+  /** Number of puts and deletes in each second. */
+  readonly writesBySecond: number[] = [];
 
   constructor(
     private readonly clock: Clock,
     private readonly random: () => number,
   ) {
-    const tick = (): void => {
-      this.expire();
-      clock.after(50, tick);
+    const expireRepeatedly = (): void => {
+      this.expireLeases();
+      clock.after(50, expireRepeatedly);
     };
-    tick();
+    expireRepeatedly();
   }
 
-  /** The revision of a key; 0: there is none. */
+  /** The revision of a key. 0 if the key does not exist. */
   stampOf(key: string): number {
     return this.rows.get(key)?.stamp ?? 0;
   }
 
-  /** The keys with a prefix. */
+  /** The keys that start with the prefix. */
   keys(prefix: string): string[] {
     return [...this.rows.keys()].filter((key) => key.startsWith(prefix));
   }
 
-  /** Changes of keys with a prefix so far. */
+  /** Number of changes so far to keys that start with the prefix. */
   writesOf(prefix: string): number {
     return this.log.filter(({ key }) => key.startsWith(prefix)).length;
   }
 
-  /** The value of a key, as the service holds it. */
+  /** The stored value of a key. Undefined if the key does not exist. */
   peek(key: string): unknown {
     return this.rows.get(key)?.v;
   }
 
-  /** An outage ends: every lease has its full time again. */
+  /** Ends an outage. Every lease gets its full time to live again. */
   endOutage(): void {
     this.refused.clear();
     for (const lease of this.leases.values()) lease.endMs = this.clock.steadyMs() + lease.ttlMs;
-    this.wake();
+    this.notifyWatchers();
   }
 
+  /** Answers one HTTP request. Resolves to undefined if the caller gets no answer. */
   async handle(from: string, method: string, target: string, body: string | undefined) {
     const second = Math.floor(this.clock.steadyMs() / 1000);
-    this.requests[second] = (this.requests[second] ?? 0) + 1;
+    this.requestsBySecond[second] = (this.requestsBySecond[second] ?? 0) + 1;
     const url = new URL(target, 'http://state');
     const query = url.searchParams;
-    const refused = (): boolean => this.refused.has('*') || this.refused.has(from);
-    if (refused()) return json(503, {});
+    const isRefused = (): boolean => this.refused.has('*') || this.refused.has(from);
+    if (isRefused()) return jsonResponse(503, {});
     if (this.slowMs) await new Promise<void>((resolve) => this.clock.after(this.slowMs!(), resolve));
-    if (url.pathname === '/follow') return this.follow(query, refused);
-    if (url.pathname === '/keys') return this.page(query);
-    if (url.pathname.startsWith('/keys/')) return this.get(url.pathname.slice('/keys/'.length));
+    if (url.pathname === '/follow') return this.followLog(query, isRefused);
+    if (url.pathname === '/keys') return this.listRows(query);
+    if (url.pathname.startsWith('/keys/')) return this.getRow(url.pathname.slice('/keys/'.length));
     if (url.pathname === '/multi') {
-      if (this.lateShare === 0 || this.random() >= this.lateShare) return this.multi(JSON.parse(body ?? ''));
-      this.clock.after(2_000 + this.random() * 10_000, () => void this.multi(JSON.parse(body ?? '')));
+      if (this.lateShare === 0 || this.random() >= this.lateShare)
+        return this.executeTransaction(JSON.parse(body ?? ''));
+      this.clock.after(
+        2_000 + this.random() * 10_000,
+        () => void this.executeTransaction(JSON.parse(body ?? '')),
+      );
       return undefined;
     }
-    const [, , hold, touch] = url.pathname.split('/');
-    if (hold === undefined) return this.grant(JSON.parse(body ?? '').ttlMs);
-    const lease = this.leases.get(Number(hold));
-    if (!lease) return json(404, {});
-    if (method === 'DELETE') this.end(Number(hold));
+    const [, , leaseId, touch] = url.pathname.split('/');
+    if (leaseId === undefined) return this.grantLease(JSON.parse(body ?? '').ttlMs);
+    const lease = this.leases.get(Number(leaseId));
+    if (!lease) return jsonResponse(404, {});
+    if (method === 'DELETE') this.endLease(Number(leaseId));
     else if (touch) lease.endMs = this.clock.steadyMs() + lease.ttlMs;
-    return json(200, {});
+    return jsonResponse(200, {});
   }
 
-  private grant(ttlMs: number): HttpResponse {
-    const hold = ++this.holds;
-    this.leases.set(hold, { ttlMs, endMs: this.clock.steadyMs() + ttlMs });
-    return json(200, { hold });
+  private grantLease(ttlMs: number): HttpResponse {
+    const leaseId = ++this.lastLeaseId;
+    this.leases.set(leaseId, { ttlMs, endMs: this.clock.steadyMs() + ttlMs });
+    return jsonResponse(200, { hold: leaseId });
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     if (this.refused.has('*')) return;
-    for (const [hold, lease] of this.leases) if (this.clock.steadyMs() >= lease.endMs) this.end(hold);
+    for (const [leaseId, lease] of this.leases)
+      if (this.clock.steadyMs() >= lease.endMs) this.endLease(leaseId);
   }
 
-  private end(hold: number): void {
-    this.leases.delete(hold);
-    const keys = [...this.rows].filter(([, row]) => row.hold === hold).map(([key]) => key);
-    if (keys.length > 0) this.change(keys.map((key) => ({ drop: key })));
+  private endLease(leaseId: number): void {
+    this.leases.delete(leaseId);
+    const keys = [...this.rows].filter(([, row]) => row.hold === leaseId).map(([key]) => key);
+    if (keys.length > 0) this.applyOperations(keys.map((key) => ({ drop: key })));
   }
 
-  private change(operations: { put?: string; drop?: string; v?: unknown; hold?: number }[]): void {
+  private applyOperations(operations: { put?: string; drop?: string; v?: unknown; hold?: number }[]): void {
     this.epoch++;
     for (const { put, drop, v, hold } of operations) {
       if (put !== undefined) {
@@ -127,69 +139,74 @@
         this.log.push({ key: drop, stamp: this.epoch });
       }
     }
-    this.wake();
+    this.notifyWatchers();
   }
 
-  private wake(): void {
+  private notifyWatchers(): void {
     for (const watcher of [...this.watchers]) watcher();
   }
 
-  private get(key: string): HttpResponse {
+  private getRow(key: string): HttpResponse {
     const row = this.rows.get(key);
-    return row ? json(200, { key, ...row }) : json(404, { epoch: this.epoch });
+    return row ? jsonResponse(200, { key, ...row }) : jsonResponse(404, { epoch: this.epoch });
   }
 
-  private page(query: URLSearchParams): HttpResponse {
+  private listRows(query: URLSearchParams): HttpResponse {
     const prefix = query.get('starts') ?? '';
     const since = query.get('since') ?? '';
     const keys = [...this.rows.keys()].filter((key) => key.startsWith(prefix) && key > since).sort();
     const rows = keys.slice(0, Number(query.get('page') ?? 1000));
-    return json(200, {
+    return jsonResponse(200, {
       rows: rows.map((key) => ({ key, ...this.rows.get(key)! })),
       more: rows.length < keys.length,
       epoch: this.epoch,
     });
   }
 
-  private multi(txn: {
+  private executeTransaction(transaction: {
     if?: { key: string; stamp: number }[];
     apply?: { put?: string; drop?: string; v?: unknown; hold?: number }[];
   }): HttpResponse {
-    const operations = txn.apply ?? [];
-    const tooLarge = operations.some((o) => JSON.stringify(o.v ?? null).length > this.limits.valueBytes);
-    const tooMany = operations.length > this.limits.txnOps || (txn.if ?? []).length > this.limits.txnOps * 4;
-    if (tooLarge || tooMany || JSON.stringify(txn).length > 65_536) {
+    const operations = transaction.apply ?? [];
+    const tooLarge = operations.some(
+      (operation) => JSON.stringify(operation.v ?? null).length > this.limits.valueBytes,
+    );
+    const tooMany =
+      operations.length > this.limits.txnOps || (transaction.if ?? []).length > this.limits.txnOps * 4;
+    if (tooLarge || tooMany || JSON.stringify(transaction).length > 65_536) {
       this.malformed++;
-      return json(400, { error: 'too large' });
+      return jsonResponse(400, { error: 'too large' });
     }
     const second = Math.floor(this.clock.steadyMs() / 1000);
-    this.writes[second] = (this.writes[second] ?? 0) + operations.length;
-    if (operations.some((o) => o.hold !== undefined && !this.leases.has(o.hold)))
-      return json(400, { error: 'no such lease' });
-    const failed = (txn.if ?? [])
-      .filter((c) => (this.rows.get(c.key)?.stamp ?? 0) !== c.stamp)
-      .map((c) => c.key);
-    if (failed.length > 0) return json(409, { failed, epoch: this.epoch });
-    this.change(operations);
-    return json(200, { epoch: this.epoch });
-  }
-
-  private follow(query: URLSearchParams, refused: () => boolean): Promise<HttpResponse> {
+    this.writesBySecond[second] = (this.writesBySecond[second] ?? 0) + operations.length;
+    if (operations.some((operation) => operation.hold !== undefined && !this.leases.has(operation.hold)))
+      return jsonResponse(400, { error: 'no such lease' });
+    const failed = (transaction.if ?? [])
+      .filter((condition) => (this.rows.get(condition.key)?.stamp ?? 0) !== condition.stamp)
+      .map((condition) => condition.key);
+    if (failed.length > 0) return jsonResponse(409, { failed, epoch: this.epoch });
+    this.applyOperations(operations);
+    return jsonResponse(200, { epoch: this.epoch });
+  }
+
+  private followLog(query: URLSearchParams, isRefused: () => boolean): Promise<HttpResponse> {
     const prefix = query.get('starts') ?? '';
     const since = Number(query.get('since'));
     const holdMs = Number(query.get('holdMs') ?? 0);
     return new Promise((resolve) => {
-      let over = holdMs === 0;
+      let hasTimedOut = holdMs === 0;
       const check = (): void => {
-        if (refused()) return;
-        const found = this.log.filter((entry) => entry.stamp > since && entry.key.startsWith(prefix));
-        if (found.length === 0 && !over) return;
+        if (isRefused()) return;
+        const newEntries = this.log.filter((entry) => entry.stamp > since && entry.key.startsWith(prefix));
+        if (newEntries.length === 0 && !hasTimedOut) return;
         this.watchers.delete(check);
         resolve(
-          json(200, {
+          jsonResponse(200, {
             epoch: this.epoch,
-            log: found.map((e) =>
-              e.v === undefined ? { drop: e.key, stamp: e.stamp } : { put: e.key, v: e.v, stamp: e.stamp },
+            log: newEntries.map((entry) =>
+              entry.v === undefined
+                ? { drop: entry.key, stamp: entry.stamp }
+                : { put: entry.key, v: entry.v, stamp: entry.stamp },
             ),
           }),
         );
@@ -197,7 +214,7 @@
       this.watchers.add(check);
       if (holdMs > 0)
         this.clock.after(holdMs, () => {
-          over = true;
+          hasTimedOut = true;
           check();
         });
       check();
--- a/src/simulation/traffic-observer.ts
+++ b/src/simulation/traffic-observer.ts
@@ -1,10 +1,10 @@
 import type { PeerMessage } from '../peers/peer-messages.js';
 
-/** Is shown every message of a simulated deployment, in the order in which they are sent and arrive. */
+/** Receives every message of a simulated deployment, in the order of sending and arrival. */
 export interface TrafficObserver {
   /** A request leaves its sender. */
   requestSent(request: ObservedRequest): void;
-  /** A request arrives at its receiver, which handles it now. */
+  /** A request arrives at its receiver, which is about to handle it. */
   requestArrived(request: ObservedRequest): void;
   /** An answer arrives at the sender of the request. */
   responseArrived(request: ObservedRequest, status: number, body: string): void;
@@ -23,7 +23,7 @@
   readonly body: string | undefined;
 }
 
-/** For simulations whose messages nobody looks at. */
+/** Ignores all messages. */
 export const NO_OBSERVER: TrafficObserver = {
   requestSent: () => undefined,
   requestArrived: () => undefined,
--- a/src/simulation/workers.ts
+++ b/src/simulation/workers.ts
@@ -1,8 +1,9 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpCaller, HttpResponse } from '../http/message.js';
 import type { SimNetwork } from './network.js';
-import type { SimRules } from './rules.js';
+import type { RuleChecker } from './rules.js';
 
+/** One attempt of a task on this worker. */
 interface Task {
   uid: string;
   index: number;
@@ -11,234 +12,255 @@
   cause?: string;
 }
 
-export interface WorkerPlace {
+/** The machine on which a worker runs. */
+export interface WorkerMachine {
   name: string;
-  type: string;
+  instanceType: string;
   zone: string;
   spot: boolean;
-  /** Where its worker takes commands; by default a name of the simulated network. */
+  /** Address at which the worker accepts commands. Defaults to a name of the simulated network. */
   address?: string;
 }
 
-interface Order {
+/** A command of a controller, as the protocol encodes it. */
+interface Command {
   verb: string;
   piece: string;
   try: number;
 }
 
-/** Stand-in of a worker, written from its protocol: leases, sessions, tokens, reports, direct commands. */
+/**
+ * Simulated worker, written from the protocol of the real one: leases, sessions, tokens, reports and direct commands.
+ */
 export class SimWorker {
   private readonly tasks = new Map<string, Task>();
   private session = 1;
-  private tick = 0;
+  private reportNumber = 0;
   private token = 0;
-  private leaseFromMs: number;
-  private target: number;
-  private reporting = false;
-  private alive = true;
+  private leaseRenewedMs: number;
+  private controllerIndex: number;
+  private isReporting = false;
+  private isAlive = true;
+  /** While true, the machine neither runs tasks nor handles messages, and its clock runs on. */
   hanging = false;
-  private readonly caller: HttpCaller;
+  private readonly httpCaller: HttpCaller;
 
   constructor(
-    readonly place: WorkerPlace,
+    readonly machine: WorkerMachine,
     private readonly controllers: { member: string; address: string }[],
     private readonly timing: { reportS: number; leaseS: number; fetchS: number },
     private readonly clock: Clock,
-    network: Pick<SimNetwork, 'attach' | 'caller'>,
-    private readonly rules: SimRules,
+    network: Pick<SimNetwork, 'attach' | 'createCaller'>,
+    private readonly rules: RuleChecker,
     private readonly random: () => number,
-    private readonly finished: Set<string>,
+    /** Tasks that finished on any machine. Another attempt at one of them takes only 10 ms. */
+    private readonly finishedTasks: Set<string>,
   ) {
-    this.leaseFromMs = clock.steadyMs();
-    this.target = Math.floor(random() * controllers.length);
-    this.caller = network.caller(place.name, () => this.alive);
-    network.attach(place.name, this.address, async (_from, _method, target, body) =>
-      this.serve(target, body),
+    this.leaseRenewedMs = clock.steadyMs();
+    this.controllerIndex = Math.floor(random() * controllers.length);
+    this.httpCaller = network.createCaller(machine.name, () => this.isAlive);
+    network.attach(machine.name, this.address, async (_from, _method, target, body) =>
+      this.handleRequest(target, body),
     );
     this.watchLease();
-    this.reportIn(random() * timing.reportS * 1000);
+    this.scheduleReport(random() * timing.reportS * 1000);
   }
 
+  /** Address at which the worker accepts commands. */
   get address(): string {
-    return this.place.address ?? `${this.place.name}:1`;
+    return this.machine.address ?? `${this.machine.name}:1`;
   }
 
-  /** The machine is gone, with all that was on it. */
+  /** Terminates the machine and everything that runs on it. */
   kill(): void {
-    this.alive = false;
-    for (const task of this.tasks.values()) if (task.phase === 'running') this.rules.killedByEnd++;
-    this.dropTasks();
+    this.isAlive = false;
+    for (const task of this.tasks.values()) if (task.phase === 'running') this.rules.tasksKilledWithMachine++;
+    this.killTasks();
   }
 
-  /** The machine stops with all that is on it and is back at once: its worker counts from 1 again. */
-  beginAnew(): void {
-    this.dropTasks();
+  /**
+   * Restarts the machine without delay. All tasks end, and the worker counts its sessions and reports from the start
+   * again.
+   */
+  restart(): void {
+    this.killTasks();
     this.session = 1;
-    this.tick = 0;
+    this.reportNumber = 0;
     this.token = 0;
-    this.leaseFromMs = this.clock.steadyMs();
+    this.leaseRenewedMs = this.clock.steadyMs();
   }
 
+  /** Number of the current session. It increases each time the lease expires. */
   get sessionNumber(): number {
     return this.session;
   }
 
-  private dropTasks(): void {
+  private killTasks(): void {
     for (const task of this.tasks.values())
-      if (task.phase === 'running') this.rules.end(task.uid, task.index, this.place.name, false);
+      if (task.phase === 'running') this.rules.recordTaskEnd(task.uid, task.index, this.machine.name, false);
     this.tasks.clear();
   }
 
   private watchLease(): void {
     this.clock.after(100, () => {
-      if (!this.alive) return;
-      if (!this.hanging && this.clock.steadyMs() - this.leaseFromMs > this.timing.leaseS * 1000) {
-        for (const task of this.tasks.values()) if (task.phase === 'running') this.rules.killedByLease++;
-        this.dropTasks();
+      if (!this.isAlive) return;
+      if (!this.hanging && this.clock.steadyMs() - this.leaseRenewedMs > this.timing.leaseS * 1000) {
+        for (const task of this.tasks.values())
+          if (task.phase === 'running') this.rules.tasksKilledByLeaseExpiry++;
+        this.killTasks();
         this.session++;
-        this.leaseFromMs = this.clock.steadyMs();
+        this.leaseRenewedMs = this.clock.steadyMs();
       }
       this.watchLease();
     });
   }
 
-  private report(): unknown {
+  private buildReport(): unknown {
     return {
-      hearth: this.place.name,
+      hearth: this.machine.name,
       address: this.address,
-      build: this.place.type,
-      yard: this.place.zone,
-      loaner: this.place.spot,
+      build: this.machine.instanceType,
+      yard: this.machine.zone,
+      loaner: this.machine.spot,
       tenure: this.session,
-      tick: ++this.tick,
+      tick: ++this.reportNumber,
       baton: this.token,
       warningS: null,
-      pieces: [...this.tasks.values()].map((t) => ({
-        piece: `${t.uid}/${t.index}`,
-        try: t.attempt,
-        phase: t.phase,
-        ...(t.cause ? { cause: t.cause } : {}),
+      pieces: [...this.tasks.values()].map((task) => ({
+        piece: `${task.uid}/${task.index}`,
+        try: task.attempt,
+        phase: task.phase,
+        ...(task.cause ? { cause: task.cause } : {}),
       })),
     };
   }
 
-  private reportIn(ms: number): void {
-    this.clock.after(ms, () => {
-      if (!this.alive) return;
-      if (this.hanging) return this.reportIn(200);
+  private scheduleReport(delayMs: number): void {
+    this.clock.after(delayMs, () => {
+      if (!this.isAlive) return;
+      if (this.hanging) return this.scheduleReport(200);
       void this.sendReport();
     });
   }
 
   private async sendReport(): Promise<void> {
-    if (this.reporting) return;
-    this.reporting = true;
+    if (this.isReporting) return;
+    this.isReporting = true;
     const sentMs = this.clock.steadyMs();
     const session = this.session;
-    const to = this.controllers[this.target]!;
+    const controller = this.controllers[this.controllerIndex]!;
     let response: HttpResponse | undefined;
     try {
-      response = await this.caller.call(
-        to.address,
+      response = await this.httpCaller.call(
+        controller.address,
         'POST',
         '/v1/report',
-        JSON.stringify(this.report()),
+        JSON.stringify(this.buildReport()),
         4000,
       );
     } catch {
       response = undefined;
     }
-    this.reporting = false;
-    if (!this.alive) return;
+    this.isReporting = false;
+    if (!this.isAlive) return;
     if (response?.status === 200) {
-      const body = JSON.parse(response.body) as { baton: number; orders: Order[] };
+      const body = JSON.parse(response.body) as { baton: number; orders: Command[] };
       if (!this.hanging && body.baton >= this.token && session === this.session) {
-        const raised = body.baton > this.token;
+        const isTokenRaised = body.baton > this.token;
         this.token = body.baton;
-        this.leaseFromMs = sentMs;
-        for (const order of body.orders) this.execute(order);
-        return this.reportIn(raised ? 500 : this.timing.reportS * 1000 * (0.75 + this.random() * 0.5));
+        this.leaseRenewedMs = sentMs;
+        for (const command of body.orders) this.executeCommand(command);
+        return this.scheduleReport(
+          isTokenRaised ? 500 : this.timing.reportS * 1000 * (0.75 + this.random() * 0.5),
+        );
       }
-      return this.reportIn(500);
+      return this.scheduleReport(500);
     }
     const steward =
       response?.status === 421 ? (JSON.parse(response.body) as { steward?: string }).steward : undefined;
-    const named = this.controllers.findIndex((c) => c.member === steward);
-    this.target = named >= 0 && named !== this.target ? named : (this.target + 1) % this.controllers.length;
-    this.reportIn(named >= 0 ? 100 : 1000);
+    const namedIndex = this.controllers.findIndex((other) => other.member === steward);
+    this.controllerIndex =
+      namedIndex >= 0 && namedIndex !== this.controllerIndex
+        ? namedIndex
+        : (this.controllerIndex + 1) % this.controllers.length;
+    this.scheduleReport(namedIndex >= 0 ? 100 : 1000);
   }
 
-  private async serve(target: string, body: string | undefined): Promise<HttpResponse | undefined> {
-    if (!this.alive) return undefined;
-    // A hanging machine takes up what reached it when it goes on.
+  private async handleRequest(target: string, body: string | undefined): Promise<HttpResponse | undefined> {
+    if (!this.isAlive) return undefined;
+    // A hanging machine handles the requests that reached it once it runs again.
     while (this.hanging) await new Promise<void>((resolve) => this.clock.after(100, resolve));
-    // It may have been deleted meanwhile.
-    if (!this.alive) return undefined;
-    if (target === '/show') return { status: 200, body: JSON.stringify(this.report()) };
+    // The machine may have been terminated in the meantime.
+    if (!this.isAlive) return undefined;
+    if (target === '/show') return { status: 200, body: JSON.stringify(this.buildReport()) };
     const { baton, tenure, orders } = JSON.parse(body ?? '') as {
       baton: number;
       tenure: number;
-      orders: Order[];
+      orders: Command[];
     };
-    const valid = baton >= this.token && tenure === this.session;
-    if (valid) {
+    const isValid = baton >= this.token && tenure === this.session;
+    if (isValid) {
       this.token = baton;
-      for (const order of orders) this.execute(order);
+      for (const command of orders) this.executeCommand(command);
     }
-    return { status: valid ? 200 : 409, body: JSON.stringify(this.report()) };
+    return { status: isValid ? 200 : 409, body: JSON.stringify(this.buildReport()) };
   }
 
-  private execute(order: Order): void {
-    const key = `${order.piece}#${order.try}`;
-    const held = this.tasks.get(key);
-    if (order.verb === 'clear') {
-      if (held?.phase === 'exited') this.tasks.delete(key);
-    } else if (order.verb === 'stop') {
-      if (held && held.phase !== 'exited') this.exit(held, 'stopped');
-    } else if (!held) {
-      const [uid, index] = order.piece.split('/') as [string, string];
-      const task: Task = { uid, index: Number(index), attempt: order.try, phase: 'fetching' };
+  private executeCommand(command: Command): void {
+    const key = `${command.piece}#${command.try}`;
+    const knownTask = this.tasks.get(key);
+    if (command.verb === 'clear') {
+      if (knownTask?.phase === 'exited') this.tasks.delete(key);
+    } else if (command.verb === 'stop') {
+      if (knownTask && knownTask.phase !== 'exited') this.exitTask(knownTask, 'stopped');
+    } else if (!knownTask) {
+      const [uid, index] = command.piece.split('/') as [string, string];
+      const task: Task = { uid, index: Number(index), attempt: command.try, phase: 'fetching' };
       this.tasks.set(key, task);
-      const twin = [...this.tasks.values()].some(
-        (t) => t !== task && t.phase !== 'exited' && t.uid === uid && t.index === task.index,
+      const isDuplicate = [...this.tasks.values()].some(
+        (other) =>
+          other !== task && other.phase !== 'exited' && other.uid === uid && other.index === task.index,
       );
-      if (twin) this.exit(task, 'in_use');
-      else this.clock.after(this.timing.fetchS * 1000, () => this.begin(key, task));
+      if (isDuplicate) this.exitTask(task, 'in_use');
+      else this.clock.after(this.timing.fetchS * 1000, () => this.startTask(key, task));
     }
   }
 
-  private begin(key: string, task: Task): void {
+  private startTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'fetching') return;
     if (this.hanging) {
-      this.clock.after(200, () => this.begin(key, task));
+      this.clock.after(200, () => this.startTask(key, task));
       return;
     }
     task.phase = 'running';
-    this.rules.start(task.uid, task.index, {
-      node: this.place.name,
-      zone: this.place.zone,
-      spot: this.place.spot,
+    this.rules.recordTaskStart(task.uid, task.index, {
+      node: this.machine.name,
+      zone: this.machine.zone,
+      spot: this.machine.spot,
     });
     const { kind, runS } = this.rules.jobs.get(task.uid)!.job;
     if (kind === 'service') return;
-    const again = this.finished.has(`${task.uid}/${task.index}`);
-    this.clock.after(again ? 10 : runS * 1000 * (0.8 + this.random() * 0.4), () => this.finish(key, task));
+    const hasFinishedBefore = this.finishedTasks.has(`${task.uid}/${task.index}`);
+    this.clock.after(hasFinishedBefore ? 10 : runS * 1000 * (0.8 + this.random() * 0.4), () =>
+      this.finishTask(key, task),
+    );
   }
 
-  private finish(key: string, task: Task): void {
+  private finishTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'running') return;
     if (this.hanging) {
-      this.clock.after(200, () => this.finish(key, task));
+      this.clock.after(200, () => this.finishTask(key, task));
       return;
     }
-    this.finished.add(`${task.uid}/${task.index}`);
-    this.exit(task, 'done');
+    this.finishedTasks.add(`${task.uid}/${task.index}`);
+    this.exitTask(task, 'done');
   }
 
-  private exit(task: Task, cause: string): void {
-    if (task.phase === 'running') this.rules.end(task.uid, task.index, this.place.name, cause === 'done');
+  private exitTask(task: Task, cause: string): void {
+    if (task.phase === 'running')
+      this.rules.recordTaskEnd(task.uid, task.index, this.machine.name, cause === 'done');
     task.phase = 'exited';
     task.cause = cause;
-    this.reportIn(500 * this.random());
+    this.scheduleReport(500 * this.random());
   }
 }
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from '../src/state/records.js';
 
-/** A job's description with the given fields changed. */
+/** Returns a valid job description with the given fields replaced. */
 export function jobSpec(fields: Partial<JobSpec> = {}): JobSpec {
   return {
     uid: 'job-000001',
@@ -27,7 +27,7 @@
   };
 }
 
-/** A valid settings file of the platform. */
+/** A valid platform settings file in TOML. */
 export const SETTINGS = `
 member = "a"
 domain = "z"
--- a/test/former.ts
+++ b/test/former.ts
@@ -1,12 +1,13 @@
 import { isObject } from '../src/wire/json.js';
 
 /**
- * The version in production (deploy/service.toml), as it writes and reads what it shares with this one; not changed with
- * ours. The values of jobs, groups and kept machines were printed by its own code; how it reads is abridged from it.
- * Versions serve side by side while an upgrade rolls.
+ * How the version in production (deploy/service.toml) writes and reads the data that it shares with this version. It
+ * does not change when this version does. Both versions run side by side during a rolling upgrade. The values of
+ * jobs, node groups and delegated leases were printed by the code of that version, and the decoding is abridged from
+ * that code.
  */
 
-/** Values that it wrote into the state service. */
+/** Values that the version in production wrote into the state service. */
 export const STORED = {
   open:
     '{"p":"o","n":4,"t":1790000002622,"x":"EN","u":0,"d":"Bw==","s":{"uid":"job-312747","cohort":"league-tables",' +
@@ -21,8 +22,8 @@
   leader: '{"member":"hearth-2","term":12}',
 };
 
-/** Frames that it sent to other controllers, unpacked. */
-export const FRAMES: Record<string, unknown>[] = [
+/** Unpacked frames that the version in production sent to other controllers. */
+export const PEER_FRAMES: Record<string, unknown>[] = [
   { kind: 'beat' },
   { kind: 'able', able: true, relays: null },
   { kind: 'able', able: false, relays: 'hearth-1' },
@@ -35,8 +36,8 @@
   { kind: 'promise', id: 4, term: 12, given: true, informs: { parts: 1, at: { log: 77, seq: 4 } } },
 ];
 
-/** How it reads a job's value. */
-export function readJob(value: unknown): Record<string, unknown> | undefined {
+/** Decodes a job's value as the version in production does. */
+export function decodeJobAsProduction(value: unknown): Record<string, unknown> | undefined {
   if (!isObject(value)) return undefined;
   const phase = { o: 'open', d: 'done', c: 'cancelled' }[String(value.p)];
   const { n, t, x, s } = value;
@@ -48,8 +49,11 @@
   return { phase, tasks: n, spec, acceptedMs: t, tuple: x, successor: value.u === 1, done };
 }
 
-/** How it writes what it read: what it does not know of stays in the description only. */
-export function writeJob(record: Record<string, unknown>): unknown {
+/**
+ * Encodes a decoded job as the version in production does. Fields unknown to it survive only in the job's
+ * description.
+ */
+export function encodeJobAsProduction(record: Record<string, unknown>): unknown {
   const { phase, tasks: n, acceptedMs: t, tuple: x, successor, done: d, spec: s } = record;
   const base = { p: String(phase)[0], n, t, x };
   return s === undefined ? base : { ...base, u: successor ? 1 : 0, d, s };
