--- a/scripts/behavior-trace.ts
+++ b/scripts/behavior-trace.ts
@@ -114,12 +114,12 @@
     if (expectedResult?.digest === result.digest && expectedResult.brokenRules === result.brokenRules)
       continue;
     isSame = false;
-    print(
+    printLine(
       `differs: ${result.name}: ${expectedResult ? describeDifference(expectedResult, result) : 'not in the file'}`,
     );
-    if (against !== undefined) print(describeFirstDifference(result.name, against));
+    if (against !== undefined) printLine(describeFirstDifference(result.name, against));
   }
-  print(`${results.length} runs compared with ${file}: ${isSame ? 'all the same' : 'not the same'}`);
+  printLine(`${results.length} runs compared with ${file}: ${isSame ? 'all the same' : 'not the same'}`);
   return isSame;
 }
 
@@ -148,7 +148,7 @@
   return output.stdout.split('\n');
 }
 
-function print(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -169,7 +169,7 @@
   }
   const results = await runAll(runs, Number(options.jobs));
   if (options.out !== undefined) writeFileSync(options.out, formatResults(results));
-  else if (options.compare === undefined) print(formatResults(results));
+  else if (options.compare === undefined) printLine(formatResults(results));
   if (options.compare !== undefined && !compareWithFile(results, options)) process.exitCode = 1;
 }
 
--- a/src/simulation/day.ts
+++ b/src/simulation/day.ts
@@ -262,9 +262,9 @@
    * Submits a job and polls it from then on. If `cancelS` is given, cancels the job that many seconds after it was
    * accepted.
    */
-  submit(fields: Partial<SimJob>, cancelS?: number): SimJob {
+  submit(fields: Partial<SimJob>, cancelAfterS?: number): SimJob {
     const job = this.expect(fields);
-    void this.simulateUser(job, cancelS);
+    void this.simulateUser(job, cancelAfterS);
     return job;
   }
 
@@ -346,7 +346,7 @@
     return new Promise((resolve) => this.clock.after(ms, resolve));
   }
 
-  private async simulateUser(job: SimJob, cancelS: number | undefined): Promise<void> {
+  private async simulateUser(job: SimJob, cancelAfterS: number | undefined): Promise<void> {
     const submission = this.wireOf(job);
     for (;;) {
       const response = await this.sendToRandomMember('POST', '/submissions', submission);
@@ -354,7 +354,7 @@
       if (response && response.status < 300) break;
       await this.sleep(1000);
     }
-    const cancelAtMs = cancelS === undefined ? Infinity : this.clock.steadyMs() + cancelS * 1000;
+    const cancelAtMs = cancelAfterS === undefined ? Infinity : this.clock.steadyMs() + cancelAfterS * 1000;
     for (;;) {
       const isCancelling = this.clock.steadyMs() >= cancelAtMs;
       if (isCancelling) this.rules.recordCancelRequest(job.uid);
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -26,7 +26,7 @@
   private readonly handlers = new Map<string, SimHandler>();
   /** Active partitions, by the sender and receiver of the link. */
   private readonly partitions = new Map<string, Partition>();
-  private readonly zones = new Map<string, string>();
+  private readonly zonesByHost = new Map<string, string>();
   private areZonesPartitioned = false;
   /** Hosts to which nothing is delivered, while their own messages arrive. */
   private readonly hostsWithoutInbound = new Set<string>();
@@ -36,9 +36,9 @@
   private readonly hostsWithoutOwnRequests = new Set<string>();
   private readonly hostsByAddress = new Map<string, string>();
   /** Paused hosts, with the actions to run when they resume. */
-  private readonly pausedHosts = new Map<string, (() => void)[]>();
+  private readonly pausedHostActions = new Map<string, (() => void)[]>();
   /** Hosts whose outbound messages are held back, with those messages. */
-  private readonly heldOutbound = new Map<string, (() => void)[]>();
+  private readonly heldOutboundMessages = new Map<string, (() => void)[]>();
 
   constructor(
     private readonly clock: SimulatedClock,
@@ -81,32 +81,35 @@
 
   /** Holds back everything that the host sends from now on. */
   holdOutbound(host: string): void {
-    this.heldOutbound.set(host, []);
+    this.heldOutboundMessages.set(host, []);
   }
 
   /** Pauses the host. Its clock runs on, and arriving messages and due timers wait. */
   pauseHost(host: string): void {
-    this.pausedHosts.set(host, []);
+    this.pausedHostActions.set(host, []);
   }
 
   /** Resumes the host. Everything that waited happens without further delay, and messages held back are sent. */
   resumeHost(host: string): void {
-    const pendingActions = [this.pausedHosts.get(host) ?? [], this.heldOutbound.get(host) ?? []].flat();
-    this.pausedHosts.delete(host);
-    this.heldOutbound.delete(host);
+    const pendingActions = [
+      this.pausedHostActions.get(host) ?? [],
+      this.heldOutboundMessages.get(host) ?? [],
+    ].flat();
+    this.pausedHostActions.delete(host);
+    this.heldOutboundMessages.delete(host);
     for (const run of pendingActions) this.clock.after(1 + this.random() * 3, run);
   }
 
   /** Runs an action on a host, after the end of its pause if it is paused. */
   runOnHost(host: string, run: () => void): void {
-    const pendingActions = this.pausedHosts.get(host);
+    const pendingActions = this.pausedHostActions.get(host);
     if (pendingActions) pendingActions.push(run);
     else run();
   }
 
   /** Assigns a host to a zone. */
   setZone(host: string, zone: string): void {
-    this.zones.set(host, zone);
+    this.zonesByHost.set(host, zone);
   }
 
   /** Partitions all zones from each other. Hosts without a zone stay reachable. */
@@ -117,7 +120,7 @@
   private findPartition(from: string, to: string): Partition | undefined {
     const existing = this.partitions.get(formatLink(from, to));
     if (existing || !this.areZonesPartitioned) return existing;
-    const [a, b] = [this.zones.get(from), this.zones.get(to)];
+    const [a, b] = [this.zonesByHost.get(from), this.zonesByHost.get(to)];
     if (a === undefined || b === undefined || a === b) return undefined;
     return this.addPartition(from, to);
   }
@@ -145,7 +148,7 @@
   deliver(from: string, to: string, run: () => void): void {
     if (this.hostsWithoutInbound.has(to)) return;
     const partition = this.findPartition(from, to);
-    const heldMessages = partition?.heldMessages ?? this.heldOutbound.get(from);
+    const heldMessages = partition?.heldMessages ?? this.heldOutboundMessages.get(from);
     if (heldMessages) heldMessages.push(run);
     else this.clock.after(1 + this.random() * 3, () => this.runOnHost(to, run));
   }
--- a/src/simulation/rules.ts
+++ b/src/simulation/rules.ts
@@ -62,7 +62,7 @@
   constructor(
     private readonly nowMs: () => number,
     private readonly teamCpuLimits: Map<string, number>,
-    private readonly cancelS: number,
+    private readonly cancelDeadlineS: number,
     /** Seconds after a confirmed cancellation during which an earlier start command may still be in transit. */
     private readonly commandTransitS: number,
   ) {}
@@ -105,7 +105,7 @@
       this.recordViolation(`wrong_place: ${uid}/${task} in ${machine.zone}`);
     if (job.scatter && this.countRunningInZone(tracked, machine.zone) + 1 > Math.ceil(job.tasks / 2))
       this.recordViolation(`wrong_place: too many tasks of ${uid} in ${machine.zone}`);
-    if (this.nowMs() > tracked.cancelConfirmedMs + this.cancelS * 1000)
+    if (this.nowMs() > tracked.cancelConfirmedMs + this.cancelDeadlineS * 1000)
       this.recordViolation(`ran_cancelled: ${uid}/${task} starts`);
     else if (this.nowMs() > tracked.cancelConfirmedMs + this.commandTransitS * 1000)
       this.startedCancelled.push(`${(this.nowMs() / 1000).toFixed(3)} ${uid}/${task}`);
@@ -179,7 +179,7 @@
       this.recordViolation(`went_back: ${uid} ${tracked.told} to ${phase}`);
     if (
       (phase === 'pending' || phase === 'running') &&
-      this.nowMs() > this.cancelConfirmedMs(uid) + this.cancelS * 1000
+      this.nowMs() > this.cancelConfirmedMs(uid) + this.cancelDeadlineS * 1000
     )
       this.recordViolation(`orphaned: ${uid} is ${phase}`);
     if (phase === 'withdrawn' && !this.isCancelRequested(uid))
@@ -238,7 +238,10 @@
   /** Checks that no task of a cancelled job still runs after the deadline. To be called periodically. */
   checkCancelledTasks(): void {
     for (const [uid, tracked] of this.jobs) {
-      if (tracked.runningTasks.size > 0 && this.nowMs() > tracked.cancelConfirmedMs + this.cancelS * 1000)
+      if (
+        tracked.runningTasks.size > 0 &&
+        this.nowMs() > tracked.cancelConfirmedMs + this.cancelDeadlineS * 1000
+      )
         this.recordViolation(`ran_cancelled: ${uid} has ${tracked.runningTasks.size} running tasks`);
     }
   }
--- a/src/simulation/state-service.ts
+++ b/src/simulation/state-service.ts
@@ -168,12 +168,12 @@
     apply?: { put?: string; drop?: string; v?: unknown; hold?: number }[];
   }): HttpResponse {
     const operations = transaction.apply ?? [];
-    const tooLarge = operations.some(
+    const hasLargeValue = operations.some(
       (operation) => JSON.stringify(operation.v ?? null).length > this.limits.valueBytes,
     );
-    const tooMany =
+    const hasTooManyItems =
       operations.length > this.limits.txnOps || (transaction.if ?? []).length > this.limits.txnOps * 4;
-    if (tooLarge || tooMany || JSON.stringify(transaction).length > 65_536) {
+    if (hasLargeValue || hasTooManyItems || JSON.stringify(transaction).length > 65_536) {
       this.malformed++;
       return jsonResponse(400, { error: 'too large' });
     }
--- a/test/former.ts
+++ b/test/former.ts
@@ -40,13 +40,17 @@
 export function decodeJobAsProduction(value: unknown): Record<string, unknown> | undefined {
   if (!isObject(value)) return undefined;
   const phase = { o: 'open', d: 'done', c: 'cancelled' }[String(value.p)];
-  const { n, t, x, s } = value;
-  if (!phase || !Number.isSafeInteger(n) || (n as number) <= 0 || typeof t !== 'number') return undefined;
-  if (typeof x !== 'string' || !/^[NESF]{1,2}$/.test(x)) return undefined;
-  const spec = isObject(s) && s.tasks === n && typeof s.team === 'string' ? s : undefined;
+  const { n: tasks, t: acceptedMs, x: tuple, s: storedSpec } = value;
+  if (!phase || !Number.isSafeInteger(tasks) || (tasks as number) <= 0 || typeof acceptedMs !== 'number')
+    return undefined;
+  if (typeof tuple !== 'string' || !/^[NESF]{1,2}$/.test(tuple)) return undefined;
+  const spec =
+    isObject(storedSpec) && storedSpec.tasks === tasks && typeof storedSpec.team === 'string'
+      ? storedSpec
+      : undefined;
   if (phase === 'open' && !spec) return undefined;
   const done = typeof value.d === 'string' ? value.d : '';
-  return { phase, tasks: n, spec, acceptedMs: t, tuple: x, successor: value.u === 1, done };
+  return { phase, tasks, spec, acceptedMs, tuple, successor: value.u === 1, done };
 }
 
 /**
@@ -54,7 +58,7 @@
  * description.
  */
 export function encodeJobAsProduction(record: Record<string, unknown>): unknown {
-  const { phase, tasks: n, acceptedMs: t, tuple: x, successor, done: d, spec: s } = record;
-  const base = { p: String(phase)[0], n, t, x };
-  return s === undefined ? base : { ...base, u: successor ? 1 : 0, d, s };
+  const { phase, tasks, acceptedMs, tuple, successor, done, spec } = record;
+  const base = { p: String(phase)[0], n: tasks, t: acceptedMs, x: tuple };
+  return spec === undefined ? base : { ...base, u: successor ? 1 : 0, d: done, s: spec };
 }
