--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -2,7 +2,7 @@
  * Finds jobs that can never run, so that they are rejected when they are submitted. The module is free of side
  * effects.
  */
-import { EPSILON } from '../constants.js';
+import { RESOURCE_TOLERANCE } from '../constants.js';
 import type { InstanceType } from '../autoscaler/cloud-codec.js';
 import { tasksThatFit } from '../scheduler/placement-constraints.js';
 import type { TeamQuota } from '../scheduler/team-quota.js';
@@ -25,8 +25,8 @@
   if (!fitsAnyType) return 'a task fits no allowed machine type';
   const concurrentTasks = spec.kind === 'service' ? spec.tasks : 1;
   if (
-    spec.cpus * concurrentTasks > quota.cpuLimit + EPSILON ||
-    spec.accelerators * concurrentTasks > quota.acceleratorLimit + EPSILON
+    spec.cpus * concurrentTasks > quota.cpuLimit + RESOURCE_TOLERANCE ||
+    spec.accelerators * concurrentTasks > quota.acceleratorLimit + RESOURCE_TOLERANCE
   )
     return "more than the team's limit";
   return undefined;
--- a/src/api/cancellation-handler.ts
+++ b/src/api/cancellation-handler.ts
@@ -2,7 +2,7 @@
  * Cancels jobs. The response is sent after the conditional write that decides between a cancellation and a completion.
  */
 import type { Logger } from 'pino';
-import { SUBMIT_ANSWER_MS } from '../constants.js';
+import { SUBMISSION_TIMEOUT_MS } from '../constants.js';
 import type { HttpResponse } from '../http/message.js';
 import { encodeJob } from '../state/records.js';
 import type { CommitResult, TransactionBatcher } from '../state/transaction-batcher.js';
@@ -51,7 +51,7 @@
     return this.dependencies.batcher.commitForUser(
       [{ key, modRevision }],
       [{ key, value }],
-      SUBMIT_ANSWER_MS,
+      SUBMISSION_TIMEOUT_MS,
     );
   }
 }
--- a/src/api/codec.ts
+++ b/src/api/codec.ts
@@ -1,5 +1,5 @@
 /** Encodes and decodes the wire format of the user API. Only this module knows its paths, field names and values. */
-import { MAX_TASKS } from '../constants.js';
+import { MAX_TASKS_PER_JOB } from '../constants.js';
 import type { JobSpec, Rank } from '../state/records.js';
 import { isObject, parseJson } from '../wire/json.js';
 
@@ -53,7 +53,7 @@
   ['crew', isName],
   ['shape', (v) => v === 'sweep' || v === 'standing'],
   ['rank', (v) => RANKS.includes(v)],
-  ['pieces', (v) => Number.isInteger(v) && (v as number) >= 1 && (v as number) <= MAX_TASKS],
+  ['pieces', (v) => Number.isInteger(v) && (v as number) >= 1 && (v as number) <= MAX_TASKS_PER_JOB],
   ['cpus', isAmount],
   ['accelerators', isAmount],
   ['memGb', isAmount],
--- a/src/api/dependency-list-writer.ts
+++ b/src/api/dependency-list-writer.ts
@@ -1,5 +1,5 @@
 /** Converts the record of a new job to a form that fits into a value of the state store. */
-import { DEPENDENCY_LIST_IDS, SUBMIT_ANSWER_MS } from '../constants.js';
+import { DEPENDENCY_LIST_ID_RANGE, SUBMISSION_TIMEOUT_MS } from '../constants.js';
 import { dependencyListKey, maxJobBytes, splitByBytes, type JobRecord } from '../state/records.js';
 import type { TransactionBatcher } from '../state/transaction-batcher.js';
 
@@ -34,7 +34,7 @@
     const { dependencies: dependencyUids, ...description } = record.spec;
     const parts = splitByBytes(dependencyUids, limits.valueBytes);
     const dependencyList = {
-      id: Math.floor(random() * DEPENDENCY_LIST_IDS).toString(36),
+      id: Math.floor(random() * DEPENDENCY_LIST_ID_RANGE).toString(36),
       parts: parts.length,
     };
     const { uid } = description;
@@ -47,7 +47,7 @@
     for (let firstIndex = 0; firstIndex < keyValues.length; firstIndex += limits.txnOps) {
       const operations = keyValues.slice(firstIndex, firstIndex + limits.txnOps);
       const conditions = operations.map(({ key }) => ({ key, modRevision: 0 }));
-      const result = await batcher.commitForUser(conditions, operations, SUBMIT_ANSWER_MS);
+      const result = await batcher.commitForUser(conditions, operations, SUBMISSION_TIMEOUT_MS);
       if (result.outcome !== 'applied') return { kind: 'notWritten' };
     }
     return { kind: 'fits', record: splitRecord };
--- a/src/api/request-limiter.ts
+++ b/src/api/request-limiter.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
-import { MAX_USERS_WAITING } from '../constants.js';
+import { MAX_USER_REQUESTS_IN_PROGRESS } from '../constants.js';
 import type { HttpResponse, Respond } from '../http/message.js';
 import { TRY_AGAIN } from './responses.js';
 
@@ -18,7 +18,7 @@
   readonly isHealthy: () => boolean;
 }
 
-/** Admits up to MAX_USERS_WAITING user requests at a time. */
+/** Admits up to MAX_USER_REQUESTS_IN_PROGRESS user requests at a time. */
 export class RequestLimiter {
   private requestsInProgress = 0;
 
@@ -27,7 +27,7 @@
   /** Responds with the result of `handleRequest`, or with 503 if it fails or takes longer than `timeoutMs`. */
   run(timeoutMs: number, respond: Respond, handleRequest: () => Promise<HttpResponse>): void {
     const { clock, log, isShortOfMemory } = this.dependencies;
-    if (this.requestsInProgress >= MAX_USERS_WAITING) return respond(TRY_AGAIN);
+    if (this.requestsInProgress >= MAX_USER_REQUESTS_IN_PROGRESS) return respond(TRY_AGAIN);
     if (isShortOfMemory()) return respond({ ...TRY_AGAIN, close: true });
     this.requestsInProgress++;
     let hasFinished = false;
--- a/src/api/submission-handler.ts
+++ b/src/api/submission-handler.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
 import type { InstanceType } from '../autoscaler/cloud-codec.js';
-import { LOGGED_BODY, SUBMIT_ANSWER_MS } from '../constants.js';
+import { MAX_LOGGED_BODY_CHARACTERS, SUBMISSION_TIMEOUT_MS } from '../constants.js';
 import type { HttpResponse } from '../http/message.js';
 import type { TeamQuota } from '../scheduler/team-quota.js';
 import {
@@ -75,7 +75,7 @@
     const result = await batcher.commitForUser(
       [{ key, modRevision: 0 }],
       [{ key, value: encodeJob(fittedRecord.record) }],
-      SUBMIT_ANSWER_MS,
+      SUBMISSION_TIMEOUT_MS,
     );
     if (result.outcome === 'applied') return this.confirmAcceptance(spec);
     if (result.outcome === 'refused') return TRY_AGAIN;
@@ -104,7 +104,7 @@
       return decodeSubmission(body);
     } catch (error) {
       if (!(error instanceof MalformedSubmissionError)) throw error;
-      const logFields = { reason: error.message, body: body.slice(0, LOGGED_BODY) };
+      const logFields = { reason: error.message, body: body.slice(0, MAX_LOGGED_BODY_CHARACTERS) };
       this.dependencies.log.info(logFields, 'malformed submission rejected');
       return error;
     }
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -2,7 +2,7 @@
 import { assertNever, type Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
 import type { Heartbeat } from '../cluster/worker-messages.js';
-import { POLL_ANSWER_MS, SUBMIT_ANSWER_MS } from '../constants.js';
+import { POLL_TIMEOUT_MS, SUBMISSION_TIMEOUT_MS } from '../constants.js';
 import type { HttpRequest, HttpResponse, Respond } from '../http/message.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import type { TeamQuota } from '../scheduler/team-quota.js';
@@ -80,7 +80,7 @@
 
   private handleSubmission({ method, body }: HttpRequest, respond: Respond): void {
     if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
-    this.requestLimiter.run(SUBMIT_ANSWER_MS, respond, () => this.submissionHandler.submit(body));
+    this.requestLimiter.run(SUBMISSION_TIMEOUT_MS, respond, () => this.submissionHandler.submit(body));
   }
 
   /** Handles a status request for one job, or its cancellation. */
@@ -88,11 +88,13 @@
     const [uid = '', action, extraSegment] = path.slice(SUBMISSIONS_PATH.length + 1).split('/');
     if (extraSegment === undefined && action === CANCEL_ACTION) {
       if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
-      return this.requestLimiter.run(SUBMIT_ANSWER_MS, respond, () => this.cancellationHandler.cancel(uid));
+      return this.requestLimiter.run(SUBMISSION_TIMEOUT_MS, respond, () =>
+        this.cancellationHandler.cancel(uid),
+      );
     }
     if (action === undefined) {
       if (method !== 'GET') return respond(errorResponse(405, 'GET only'));
-      return this.requestLimiter.run(POLL_ANSWER_MS, respond, () => this.readJobStatus(uid));
+      return this.requestLimiter.run(POLL_TIMEOUT_MS, respond, () => this.readJobStatus(uid));
     }
     respond(errorResponse(404, 'no such path'));
   }
--- a/src/autoscaler/capacity-pool.ts
+++ b/src/autoscaler/capacity-pool.ts
@@ -1,7 +1,7 @@
 /** Incoming capacity from which demands reserve what they need. */
 import type { Node } from '../cluster/cluster-state.js';
 import type { MutableResources } from '../cluster/resources.js';
-import { EPSILON, OCCUPIED_CAPACITY_WAIT_S } from '../constants.js';
+import { RESOURCE_TOLERANCE, MAX_OCCUPIED_CAPACITY_WAIT_S } from '../constants.js';
 import {
   allowsZone,
   fits,
@@ -156,7 +156,7 @@
 
 /** Seconds within which a running task must complete so that the demand waits for its capacity. */
 function computeLatestCompletionS(demand: CapacityDemand): number {
-  if (demand.spec.kind === 'service' || demand.waitedS > OCCUPIED_CAPACITY_WAIT_S) return -Infinity;
+  if (demand.spec.kind === 'service' || demand.waitedS > MAX_OCCUPIED_CAPACITY_WAIT_S) return -Infinity;
   return Math.min(demand.timeToStartObjectiveS, demand.timeToDeadlineS - demand.expectedRunTimeS);
 }
 
@@ -167,4 +167,4 @@
 });
 
 const hasFreeCapacity = ({ free }: PooledCapacity): boolean =>
-  free.cpus > EPSILON || free.accelerators > EPSILON;
+  free.cpus > RESOURCE_TOLERANCE || free.accelerators > RESOURCE_TOLERANCE;
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -9,12 +9,12 @@
   CATALOG_INTERVAL_MS,
   CLOUD_CALL_TIMEOUT_MS,
   CLOUD_RATE_SHARE,
-  DELEGATED_CLOUD_SHARES,
-  DELEGATED_LIST_SHARE,
-  LIST_INTERVAL_MS,
-  LIST_RATE_SHARE,
+  DELEGATED_CLOUD_RATE_SHARES,
+  DELEGATED_INSTANCE_LIST_RATE_SHARE,
+  INSTANCE_LIST_INTERVAL_MS,
+  INSTANCE_LIST_RATE_SHARE,
   MAX_INSTANCES_PER_TERMINATION,
-  STATE_RETRY_MS,
+  STATE_RETRY_DELAY_MS,
 } from '../constants.js';
 import type { HttpCaller, HttpResponse } from '../http/message.js';
 import { formatJson } from '../wire/json.js';
@@ -49,8 +49,8 @@
 export function leaderCloudRates(rps: number, hasRoleHolders: boolean): CloudRates {
   const usableRps = rps * CLOUD_RATE_SHARE;
   return hasRoleHolders
-    ? { rps: usableRps * DELEGATED_CLOUD_SHARES.leader, listShare: DELEGATED_LIST_SHARE }
-    : { rps: usableRps, listShare: LIST_RATE_SHARE };
+    ? { rps: usableRps * DELEGATED_CLOUD_RATE_SHARES.leader, listShare: DELEGATED_INSTANCE_LIST_RATE_SHARE }
+    : { rps: usableRps, listShare: INSTANCE_LIST_RATE_SHARE };
 }
 
 /**
@@ -159,7 +159,7 @@
       this.rateLimiter.consume(1);
       this.startCall(call);
     }
-    const waitMs = Math.max(this.rateLimiter.waitMs(1), STATE_RETRY_MS);
+    const waitMs = Math.max(this.rateLimiter.waitMs(1), STATE_RETRY_DELAY_MS);
     this.cancelTimer = clock.after(waitMs, () => this.send({ kind: 'tick' }));
   }
 
@@ -202,7 +202,7 @@
 
   private nextListCall(nowMs: number): Call | undefined {
     if (nowMs < this.listDueMs) return undefined;
-    this.listDueMs = nowMs + LIST_INTERVAL_MS;
+    this.listDueMs = nowMs + INSTANCE_LIST_INTERVAL_MS;
     return { kind: 'list', afterName: '', instances: [], requestedMs: nowMs, pageCount: 1 };
   }
 
@@ -268,7 +268,7 @@
   private handleCatalogResponse(response: HttpResponse | undefined): void {
     const { clock, onEvent } = this.dependencies;
     if (response?.status === 200) onEvent({ kind: 'catalog', types: decodeCatalog(response.body) });
-    else this.catalogDueMs = clock.steadyMs() + LIST_INTERVAL_MS / 2;
+    else this.catalogDueMs = clock.steadyMs() + INSTANCE_LIST_INTERVAL_MS / 2;
   }
 
   private handleListPage(call: ListCall, body: string): void {
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -3,7 +3,7 @@
  * All other code works with the types declared here.
  */
 import type { InstanceOffering, LaunchRefusalReason, LaunchRequest } from '@pumicehinge/duties';
-import { LIST_PAGE } from '../constants.js';
+import { INSTANCE_LIST_PAGE_SIZE } from '../constants.js';
 import type { InstanceType } from '../state/records/instance-types.js';
 import { isObject, parseJson } from '../wire/json.js';
 
@@ -56,7 +56,7 @@
  */
 export function formatInstanceListTarget(afterName: string): string {
   const sinceParameter = afterName === '' ? '' : `since=${afterName}&`;
-  return `/hosts?${sinceParameter}page=${LIST_PAGE}`;
+  return `/hosts?${sinceParameter}page=${INSTANCE_LIST_PAGE_SIZE}`;
 }
 
 /** The key that identifies an offering in maps and logs. */
--- a/src/autoscaler/headroom.ts
+++ b/src/autoscaler/headroom.ts
@@ -1,6 +1,6 @@
 /** Plans headroom, which is capacity kept ready for expected jobs that must start sooner than a new node boots. */
 import {
-  HEADROOM_MAX_JOBS,
+  MAX_HEADROOM_JOBS,
   HEADROOM_MARGIN,
   HEADROOM_WINDOW_MS,
   NODE_START_OVERHEAD_S,
@@ -81,7 +81,7 @@
   const meanTasksPerJob = countTasks(jobs) / jobs.length;
   const recentTasks = countTasks(jobs.filter(({ acceptedMs }) => wallMs - acceptedMs < HEADROOM_WINDOW_MS));
   const expectedTasks = ((recentTasks * startTimeS * 1000) / HEADROOM_WINDOW_MS) * HEADROOM_MARGIN;
-  return Math.ceil(Math.min(Math.max(expectedTasks, meanTasksPerJob), meanTasksPerJob * HEADROOM_MAX_JOBS));
+  return Math.ceil(Math.min(Math.max(expectedTasks, meanTasksPerJob), meanTasksPerJob * MAX_HEADROOM_JOBS));
 }
 
 function countTasks(jobs: readonly RecentJob[]): number {
--- a/src/autoscaler/offering-backoff.ts
+++ b/src/autoscaler/offering-backoff.ts
@@ -1,5 +1,5 @@
 /** Tracks which offerings should not be requested for now. */
-import { OFFERING_FAULT_RETRY_MS, OFFERING_UNAVAILABLE_MS } from '../constants.js';
+import { OFFERING_FAULT_BACKOFF_MS, OFFERING_UNAVAILABLE_BACKOFF_MS } from '../constants.js';
 import type { LaunchRefusalReason } from '@pumicehinge/duties';
 import { offeringKey, type InstanceOffering } from './cloud-codec.js';
 
@@ -15,7 +15,7 @@
 
   /** Records that the cloud launched nothing, or fewer instances than were requested. */
   recordRefusal(offering: InstanceOffering, reason: LaunchRefusalReason, nowMs: number): void {
-    const backoffMs = reason === 'no capacity' ? OFFERING_UNAVAILABLE_MS : OFFERING_FAULT_RETRY_MS;
+    const backoffMs = reason === 'no capacity' ? OFFERING_UNAVAILABLE_BACKOFF_MS : OFFERING_FAULT_BACKOFF_MS;
     this.unavailableUntilMs.set(offeringKey(offering), nowMs + backoffMs);
   }
 
--- a/src/autoscaler/spot-interruption-rate.ts
+++ b/src/autoscaler/spot-interruption-rate.ts
@@ -1,10 +1,10 @@
 /** Estimates how often the cloud interrupts spot instances. */
 import {
   MS_PER_HOUR,
-  SPOT_BURST_FACTOR,
-  SPOT_BURST_MIN_COUNTED,
-  SPOT_BURST_MS,
-  SPOT_PRIOR_HOURS,
+  MAX_COUNTED_SPOT_BURST_RATIO,
+  MIN_COUNTED_SPOT_BURST,
+  SPOT_BURST_WINDOW_MS,
+  SPOT_PRIOR_WEIGHT_HOURS,
   SPOT_PRIOR_INTERRUPTIONS_PER_HOUR,
 } from '../constants.js';
 import { isObject } from '../wire/json.js';
@@ -41,19 +41,19 @@
    * because such a burst, or a partition that looks like one, says little about future interruptions.
    */
   recordInterruption(nowMs: number): void {
-    if (nowMs - this.burstStartMs > SPOT_BURST_MS) {
+    if (nowMs - this.burstStartMs > SPOT_BURST_WINDOW_MS) {
       this.burstStartMs = nowMs;
       this.burstInterruptions = 0;
     }
-    const expectedInterruptions = (this.nodesInUse * this.perHour() * SPOT_BURST_MS) / MS_PER_HOUR;
-    const maxCounted = Math.max(SPOT_BURST_MIN_COUNTED, expectedInterruptions * SPOT_BURST_FACTOR);
+    const expectedInterruptions = (this.nodesInUse * this.perHour() * SPOT_BURST_WINDOW_MS) / MS_PER_HOUR;
+    const maxCounted = Math.max(MIN_COUNTED_SPOT_BURST, expectedInterruptions * MAX_COUNTED_SPOT_BURST_RATIO);
     if (++this.burstInterruptions <= maxCounted) this.interruptions++;
   }
 
   /** Interruptions per hour of use of one node. */
   perHour(): number {
-    const priorInterruptions = SPOT_PRIOR_INTERRUPTIONS_PER_HOUR * SPOT_PRIOR_HOURS;
-    return (this.interruptions + priorInterruptions) / (this.hoursOfUse + SPOT_PRIOR_HOURS);
+    const priorInterruptions = SPOT_PRIOR_INTERRUPTIONS_PER_HOUR * SPOT_PRIOR_WEIGHT_HOURS;
+    return (this.interruptions + priorInterruptions) / (this.hoursOfUse + SPOT_PRIOR_WEIGHT_HOURS);
   }
 
   /** The record to store, from which the next leader continues. */
--- a/src/cluster/cluster-state.ts
+++ b/src/cluster/cluster-state.ts
@@ -2,7 +2,7 @@
  * The cluster state of one term: the nodes, the attempts on them, the resources that attempts take from nodes and
  * teams, and indexes of the nodes. It makes no decisions.
  */
-import { EPSILON } from '../constants.js';
+import { RESOURCE_TOLERANCE } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
 import type { ExitCause } from './worker-messages.js';
 import { createAttempt, type Attempt, type AttemptIdentity, type AttemptState, type Job } from './attempt.js';
@@ -216,7 +216,8 @@
   private indexFreeCapacity(node: Node): void {
     const { capacity, allocated } = node;
     const hasFreeCapacity =
-      capacity.cpus - allocated.cpus > EPSILON || capacity.accelerators - allocated.accelerators > EPSILON;
+      capacity.cpus - allocated.cpus > RESOURCE_TOLERANCE ||
+      capacity.accelerators - allocated.accelerators > RESOURCE_TOLERANCE;
     // A removed node stays out of the index, even if attempts on it end later.
     if (hasFreeCapacity && this.nodesByName.get(node.name) === node) this.freeCapacityNodes.add(node);
     else this.freeCapacityNodes.delete(node);
--- a/src/cluster/lease-rules.ts
+++ b/src/cluster/lease-rules.ts
@@ -2,7 +2,7 @@
  * The safety rules for leases and heartbeats, as pure functions. Everything that decides whether a task has certainly
  * ended belongs here.
  */
-import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../constants.js';
+import { MAX_CLOCK_DRIFT_RATIO, LEASE_EXPIRY_MARGIN_MS } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
 
 /**
@@ -11,7 +11,7 @@
  */
 export function leaseExpiryMs(responseMs: number, leaseS: number): number {
   // The worker's lease starts when it sends the heartbeat, which is before the response. Its clock may be slower.
-  return responseMs + leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+  return responseMs + leaseS * 1000 * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_EXPIRY_MARGIN_MS;
 }
 
 /** The position of a worker's message in the order of all its messages. */
--- a/src/cluster/node-group.ts
+++ b/src/cluster/node-group.ts
@@ -1,5 +1,5 @@
 /** A group of nodes that share one value in the state store. The group also limits how often this value is written. */
-import { NODE_GROUP_WRITE_SPACING_MS } from '../constants.js';
+import { MIN_NODE_GROUP_WRITE_INTERVAL_MS } from '../constants.js';
 import { encodeNodeGroup } from '../state/records.js';
 import type { Node } from './node.js';
 
@@ -87,12 +87,12 @@
 
   /** Whether the group may be written now: no write of it is in progress, and the last one was long enough ago. */
   mayBeWritten(nowMs: number): boolean {
-    return !this.isBeingWritten && nowMs - this.lastWriteMs >= NODE_GROUP_WRITE_SPACING_MS;
+    return !this.isBeingWritten && nowMs - this.lastWriteMs >= MIN_NODE_GROUP_WRITE_INTERVAL_MS;
   }
 
   /** Returns the time in ms until the last write is long enough ago. Zero or less if it already is. */
   computeWriteDelayMs(nowMs: number): number {
-    return this.lastWriteMs + NODE_GROUP_WRITE_SPACING_MS - nowMs;
+    return this.lastWriteMs + MIN_NODE_GROUP_WRITE_INTERVAL_MS - nowMs;
   }
 
   /** Records that a write of the group has begun. */
--- a/src/cluster/node-health.ts
+++ b/src/cluster/node-health.ts
@@ -3,24 +3,24 @@
  * are replaced. It never decides whether a task has ended, because only the lease rules may decide that.
  */
 import {
-  BOOT_TIME_FALLBACK_S,
-  HEARTBEAT_GAP_RATIO,
+  DEFAULT_BOOT_TIME_S,
+  MAX_HEARTBEAT_GAP_RATIO,
   HEARTBEAT_REDIRECT_MARGIN_MS,
-  MASS_OUTAGE_NODES_SHARE,
+  MASS_OUTAGE_OVERDUE_SHARE,
   MAX_ISOLATED_OUTAGES,
   MAX_UNACKNOWLEDGED_RESPONSES,
-  MIN_NODES_TO_JUDGE,
-  OVERDUE_AFTER_HEARTBEATS,
-  PARTITION_CHECK_AFTER_MS,
+  MIN_NODE_SAMPLE_SIZE,
+  OVERDUE_AFTER_HEARTBEAT_INTERVALS,
+  PARTITION_CHECK_MIN_TERM_MS,
   PARTITIONED_NODES_SHARE,
-  QUARANTINE_AFTER_JOBS,
+  QUARANTINE_AFTER_FAILED_JOBS,
   STUCK_BOOT_MIN_MS,
-  STUCK_BOOT_RATIO,
-  SUSPECT_CONTROLLER_SHARE,
-  UNREACHABLE_AFTER_HEARTBEATS,
-  UNSCHEDULABLE_AFTER_HEARTBEATS,
-  WORKER_GIVE_UP_MS,
-  WORKER_RETRY_MS,
+  STUCK_BOOT_TIME_RATIO,
+  SUSPECT_CONTROLLER_OVERDUE_SHARE,
+  UNREACHABLE_AFTER_HEARTBEAT_INTERVALS,
+  UNSCHEDULABLE_AFTER_HEARTBEAT_INTERVALS,
+  WORKER_RESPONSE_TIMEOUT_MS,
+  WORKER_RETRY_DELAY_MS,
 } from '../constants.js';
 import type { ClusterState, Job, Node } from './cluster-state.js';
 
@@ -68,16 +68,16 @@
   constructor(private readonly dependencies: NodeHealthDependencies) {
     this.heartbeatIntervalMs = dependencies.heartbeatIntervalS * 1000;
     this.controllerSwitchMs =
-      dependencies.heartbeatIntervalS * HEARTBEAT_GAP_RATIO * 1000 +
-      WORKER_GIVE_UP_MS +
-      WORKER_RETRY_MS +
+      dependencies.heartbeatIntervalS * MAX_HEARTBEAT_GAP_RATIO * 1000 +
+      WORKER_RESPONSE_TIMEOUT_MS +
+      WORKER_RETRY_DELAY_MS +
       HEARTBEAT_REDIRECT_MARGIN_MS;
   }
 
   /** Whether the health of the node allows new tasks to be placed on it. */
   isSchedulable(node: Node, nowMs: number): boolean {
     return (
-      node.lastHeartbeatMs > nowMs - UNSCHEDULABLE_AFTER_HEARTBEATS * this.heartbeatIntervalMs &&
+      node.lastHeartbeatMs > nowMs - UNSCHEDULABLE_AFTER_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs &&
       node.reconciled &&
       node.unacknowledgedResponses < MAX_UNACKNOWLEDGED_RESPONSES &&
       !node.terminating &&
@@ -92,14 +92,14 @@
    */
   isQuarantined(node: Node): boolean {
     // This is checked several times per scheduling cycle for each node, and on nearly all nodes no job has failed.
-    if (node.failedJobs.size < QUARANTINE_AFTER_JOBS) return false;
+    if (node.failedJobs.size < QUARANTINE_AFTER_FAILED_JOBS) return false;
     let healthyJobsFailedHere = 0;
     for (const uid of node.failedJobs) {
       const job = this.dependencies.findJob(uid);
       // A job that failed on several nodes is probably faulty itself.
-      if (job && job.progress.failedNodes.size <= QUARANTINE_AFTER_JOBS) healthyJobsFailedHere++;
+      if (job && job.progress.failedNodes.size <= QUARANTINE_AFTER_FAILED_JOBS) healthyJobsFailedHere++;
     }
-    return healthyJobsFailedHere >= QUARANTINE_AFTER_JOBS;
+    return healthyJobsFailedHere >= QUARANTINE_AFTER_FAILED_JOBS;
   }
 
   /** Whether the node counts as lost: it has been silent for too long, or responses do not reach it. */
@@ -118,8 +118,8 @@
   isBootOverdue(node: Node, nowMs: number): boolean {
     // A new leader gives nodes that were launched before its term some time to send a heartbeat.
     if (!this.isBooting(node) || nowMs - this.dependencies.termStartMs < STUCK_BOOT_MIN_MS / 2) return false;
-    const bootMs = (this.dependencies.findInstanceType(node.type)?.bootS ?? BOOT_TIME_FALLBACK_S) * 1000;
-    return nowMs - node.launchedMs > Math.max(STUCK_BOOT_MIN_MS, bootMs * STUCK_BOOT_RATIO);
+    const bootMs = (this.dependencies.findInstanceType(node.type)?.bootS ?? DEFAULT_BOOT_TIME_S) * 1000;
+    return nowMs - node.launchedMs > Math.max(STUCK_BOOT_MIN_MS, bootMs * STUCK_BOOT_TIME_RATIO);
   }
 
   /**
@@ -127,8 +127,8 @@
    * that all of them are lost, and another controller may reach them before their leases expire.
    */
   isLeaderPartitioned(nowMs: number): boolean {
-    if (nowMs - this.dependencies.termStartMs < PARTITION_CHECK_AFTER_MS) return false;
-    const maxSilenceMs = UNREACHABLE_AFTER_HEARTBEATS * this.heartbeatIntervalMs;
+    if (nowMs - this.dependencies.termStartMs < PARTITION_CHECK_MIN_TERM_MS) return false;
+    const maxSilenceMs = UNREACHABLE_AFTER_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs;
     let silentCount = 0;
     let nodeCount = 0;
     for (const node of this.dependencies.clusterState.nodes.values()) {
@@ -138,7 +138,7 @@
       nodeCount++;
       if (this.computeSilenceMs(node, nowMs) > maxSilenceMs) silentCount++;
     }
-    return nodeCount >= MIN_NODES_TO_JUDGE && silentCount > nodeCount * PARTITIONED_NODES_SHARE;
+    return nodeCount >= MIN_NODE_SAMPLE_SIZE && silentCount > nodeCount * PARTITIONED_NODES_SHARE;
   }
 
   /**
@@ -156,11 +156,15 @@
       if (!group) groups.set(node.relayedBy, (group = { nodeCount: 0, overdueCount: 0 }));
       if (this.isZoneUnreachable(node.zone)) this.zoneLastUnreachableMs.set(node.zone, nowMs);
       const isOverdue =
-        this.computeSilenceMs(node, nowMs) > this.heartbeatIntervalMs * OVERDUE_AFTER_HEARTBEATS;
+        this.computeSilenceMs(node, nowMs) > this.heartbeatIntervalMs * OVERDUE_AFTER_HEARTBEAT_INTERVALS;
       countNode(group, isOverdue);
       countNode(allNodes, isOverdue);
     }
-    this.isMassOutageSuspected = isOutage(allNodes.overdueCount, allNodes.nodeCount, MASS_OUTAGE_NODES_SHARE);
+    this.isMassOutageSuspected = isOutage(
+      allNodes.overdueCount,
+      allNodes.nodeCount,
+      MASS_OUTAGE_OVERDUE_SHARE,
+    );
     this.findSuspectControllers(groups, allNodes.nodeCount);
   }
 
@@ -196,7 +200,7 @@
       // Nodes without a heartbeat in this term belong to no controller, so they are compared with the number of all
       // nodes.
       const groupSize = controller === '' ? allNodesCount : nodeCount;
-      if (isOutage(overdueCount, groupSize, SUSPECT_CONTROLLER_SHARE))
+      if (isOutage(overdueCount, groupSize, SUSPECT_CONTROLLER_OVERDUE_SHARE))
         this.suspectControllers.add(controller);
     }
   }
@@ -212,8 +216,8 @@
     if (this.suspectControllers.has(node.relayedBy)) return this.controllerSwitchMs;
     // If nearly all other nodes were heard in a new term, there is no reason to wait longer for the few that are
     // lost.
-    if (node.relayedBy === '') return this.controllerSwitchMs - WORKER_GIVE_UP_MS;
-    return UNREACHABLE_AFTER_HEARTBEATS * this.heartbeatIntervalMs;
+    if (node.relayedBy === '') return this.controllerSwitchMs - WORKER_RESPONSE_TIMEOUT_MS;
+    return UNREACHABLE_AFTER_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs;
   }
 }
 
--- a/src/cluster/node-records.ts
+++ b/src/cluster/node-records.ts
@@ -1,5 +1,9 @@
 /** Stores the nodes in the state store, so that the next leader knows where tasks may run. */
-import { MALFORMED_VALUE_RETRY_MS, MAX_INSTANCES_PER_LAUNCH, NODE_RECORD_BYTES } from '../constants.js';
+import {
+  MALFORMED_VALUE_RETRY_DELAY_MS,
+  MAX_INSTANCES_PER_LAUNCH,
+  MAX_NODE_RECORD_BYTES,
+} from '../constants.js';
 import { decodeNodeGroup, encodedBytes, NODE_GROUPS_PREFIX, nodeGroupKey } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 import type { Condition, Operation } from '../state/store-client.js';
@@ -51,7 +55,7 @@
   constructor(private readonly dependencies: NodeRecordsDependencies) {
     this.maxGroupSize = Math.max(
       1,
-      Math.min(MAX_INSTANCES_PER_LAUNCH, Math.floor(dependencies.maxValueBytes / NODE_RECORD_BYTES)),
+      Math.min(MAX_INSTANCES_PER_LAUNCH, Math.floor(dependencies.maxValueBytes / MAX_NODE_RECORD_BYTES)),
     );
   }
 
@@ -173,7 +177,7 @@
 
   private deliverWriteResult({ group, usedNodes }: SplitPart, result: CommitResult): void {
     // A value that the store rejects as malformed would be rejected again, so it is not resent at once.
-    if (result.outcome === 'refused' && result.malformed) group.postponeWrite(MALFORMED_VALUE_RETRY_MS);
+    if (result.outcome === 'refused' && result.malformed) group.postponeWrite(MALFORMED_VALUE_RETRY_DELAY_MS);
     this.dependencies.onWriteEnded({ group, usedNodes, isApplied: result.outcome === 'applied' });
   }
 
--- a/src/cluster/resources.ts
+++ b/src/cluster/resources.ts
@@ -2,7 +2,7 @@
 
 /**
  * Amounts of the resources that a node has or a task needs. They are decimals, so they have to be compared with the
- * tolerance `EPSILON`.
+ * tolerance `RESOURCE_TOLERANCE`.
  */
 export interface Resources {
   /** Processor cores. */
--- a/src/constants/election-and-peers.ts
+++ b/src/constants/election-and-peers.ts
@@ -15,12 +15,12 @@
  * Assumed maximum ratio by which the steady clocks of two machines drift apart. The clocks drift apart by at most
  * 0.05%, and twice that is assumed.
  */
-export const CLOCK_DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT_RATIO = 0.001;
 /**
  * Duration of a lease vote, in milliseconds. For this long the voter does not campaign, because neither the voter nor
  * the leader reaches the state store. It is short because a restarted controller has to wait until the vote has ended.
  */
-export const LEASE_VOTE_MS = 1_500;
+export const LEASE_VOTE_DURATION_MS = 1_500;
 /**
  * Margin, in milliseconds, on top of the longest time from a confirmed cancellation to the end of the job's last task.
  * It covers the delay until an expired lease is noticed, and late timers.
@@ -30,31 +30,31 @@
  * A leader that the state store serves starts tasks only while its cancellation watermark is younger than this, in
  * milliseconds. A watch may take that long.
  */
-export const START_CANCELLATION_LAG_MS = 5_000;
+export const MAX_START_CANCELLATION_LAG_MS = 5_000;
 /**
  * Number of most recent entries that a cancellation log always keeps, and half of the maximum number of entries. A
  * leader that catches up only lacks the entries of a few seconds.
  */
-export const CANCELLATION_LOG_ENTRIES = 1_000;
+export const MIN_CANCELLATION_LOG_ENTRIES = 1_000;
 /** Number of possible cancellation log ids. It is so large that no two processes draw the same id at random. */
-export const CANCELLATION_LOG_IDS = 2 ** 48;
+export const CANCELLATION_LOG_ID_RANGE = 2 ** 48;
 /** Upper bound, in bytes, for the key and revision of a job that is sent with a lease vote. */
 export const KEY_VALUE_OVERHEAD_BYTES = 256;
 /** Interval between two rounds of lease vote requests, in milliseconds. */
-export const LEASE_VOTE_REQUEST_MS = 350;
+export const LEASE_VOTE_REQUEST_INTERVAL_MS = 350;
 /** After its lease vote has ended, a voter waits this many milliseconds before it may campaign. */
 export const LEASE_VOTE_MARGIN_MS = 200;
 /**
  * A lease vote is granted once a probe of the state store has been unanswered for this many milliseconds. An answer
  * usually takes less than 10 ms.
  */
-export const STATE_PROBE_TIMEOUT_MS = 300;
+export const STATE_STORE_PROBE_TIMEOUT_MS = 300;
 /** Maximum random delay before a campaign, in milliseconds. It makes collisions between two candidates rare. */
 export const CAMPAIGN_JITTER_MS = 150;
 /** A controller in a zone with few or no nodes delays its campaign by this many milliseconds. */
 export const REMOTE_CAMPAIGN_DELAY_MS = 400;
 /** A zone counts as remote from the nodes if it has at most this share of the number of nodes of the largest zone. */
-export const REMOTE_ZONE_NODE_SHARE = 0.2;
+export const REMOTE_ZONE_MAX_NODE_SHARE = 0.2;
 /**
  * Minimum interval, in milliseconds, between two leadership transfers by the same controller. Each transfer briefly
  * stops the start of tasks.
@@ -64,13 +64,13 @@
  * With fewer nodes than this, no conclusion is drawn about which zones the nodes are in or whether they are
  * partitioned.
  */
-export const MIN_NODES_TO_JUDGE = 3;
+export const MIN_NODE_SAMPLE_SIZE = 3;
 /** If more than this share of the nodes falls silent together, the leader considers itself partitioned from them. */
 export const PARTITIONED_NODES_SHARE = 0.6;
 /**
  * A term must last at least this many milliseconds before its leader may consider itself partitioned from the nodes.
  */
-export const PARTITION_CHECK_AFTER_MS = 10_000;
+export const PARTITION_CHECK_MIN_TERM_MS = 10_000;
 /**
  * A term must last at least this many milliseconds before a leadership transfer. Right after a crash the jobs have only
  * just been reconciled, and another change of leader would delay them again. Relays limit the cost of a remote leader.
@@ -85,7 +85,7 @@
  * A term must last at least this many milliseconds before its leader redirects workers. At the beginning of a term the
  * workers' leases are close to their expiry.
  */
-export const REDIRECT_AFTER_TERM_START_MS = 20_000;
+export const REDIRECT_MIN_TERM_MS = 20_000;
 /** Minimum time, in milliseconds, before the same worker is redirected again. */
 export const REDIRECT_REPEAT_INTERVAL_MS = 60_000;
 /**
@@ -112,7 +112,7 @@
  */
 export const RELAY_TIMEOUT_MS = 3_000;
 /** Interval, in milliseconds, between two reviews of the heartbeats that the leader has not answered. */
-export const RELAY_RETRY_INTERVAL_MS = 200;
+export const RELAY_REVIEW_INTERVAL_MS = 200;
 /** A relay draws its first request id at random from this many, so that no two relay processes use the same ids. */
 export const RELAY_ID_RANGE = 2 ** 52;
 /** Interval, in milliseconds, between two checks whether delegated leases can be returned to the leader. */
@@ -125,13 +125,13 @@
 /**
  * Interval between two heartbeats to each peer, in milliseconds. Status and task counts are sent at the same interval.
  */
-export const PEER_HEARTBEAT_MS = 700;
+export const PEER_HEARTBEAT_INTERVAL_MS = 700;
 /** Maximum size of a frame between controllers, in bytes. */
 export const MAX_PEER_FRAME_BYTES = 1024 * 1024;
 /**
  * Delay, in milliseconds, before a controller connects to a peer again. If the previous connection lasted at least this
  * long, the controller reconnects immediately.
  */
-export const PEER_RECONNECT_MS = 1_000;
+export const PEER_RECONNECT_DELAY_MS = 1_000;
 /** Timeout, in milliseconds, of a connection attempt to a peer, and of a connection on which no data arrives. */
 export const PEER_IDLE_TIMEOUT_MS = 3_500;
--- a/src/constants/minimum-settings.ts
+++ b/src/constants/minimum-settings.ts
@@ -1,19 +1,19 @@
 /** Minimum values of settings. The service warns at startup about settings below them. */
 
 /** Minimum requests per second for each follower: it watches the state store, and sometimes reads for its users. */
-export const LEAST_FOLLOWER_RPS = 4;
+export const MIN_FOLLOWER_RPS = 4;
 /** Minimum writes per second for the leader. Below this, a hundred machines take longer to record than to boot. */
-export const LEAST_LEADER_WRITES = 5;
+export const MIN_LEADER_WRITES_PER_S = 5;
 /** Minimum size limit of a value, in bytes. A group of several machines, or a job with a list of types, must fit. */
-export const LEAST_VALUE_BYTES = 1024;
+export const MIN_VALUE_BYTES = 1024;
 /** Minimum operations per transaction. A job and a few of its completion segments, or a split group, must fit. */
-export const LEAST_TXN_OPS = 4;
+export const MIN_TRANSACTION_OPERATIONS = 4;
 /** Minimum requests per second to the cloud: the reads of the list, and an occasional launch or termination. */
-export const LEAST_CLOUD_RPS = 1;
+export const MIN_CLOUD_RPS = 1;
 /** Minimum number of sockets for clients. Fewer would be used up by health checks and a few users. */
-export const FEWEST_CLIENT_SOCKETS = 100;
+export const MIN_CLIENT_SOCKETS = 100;
 /**
  * Minimum number of heartbeats that must fit into a lease: one may be lost, one may be sent to a controller that is
  * gone, and one may be in flight.
  */
-export const REPORTS_PER_LEASE = 4;
+export const MIN_HEARTBEATS_PER_LEASE = 4;
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -6,7 +6,7 @@
  * Minimum interval between scheduling cycles, as a multiple of the duration of a cycle. It bounds the processor time
  * that cycles take, so a slow controller runs fewer of them.
  */
-export const SCHEDULING_CYCLE_REST_RATIO = 4;
+export const SCHEDULING_CYCLE_INTERVAL_RATIO = 4;
 /**
  * Minimum interval between two reviews of all nodes, in milliseconds. Heartbeats, interruption notices and leases
  * change within seconds.
@@ -16,7 +16,7 @@
  * Minimum interval between these reviews, as a multiple of the duration of a review. It bounds the processor time that
  * reviews take, because their duration grows with the fleet.
  */
-export const FLEET_REVIEW_REST_RATIO = 20;
+export const FLEET_REVIEW_INTERVAL_RATIO = 20;
 /**
  * Minimum interval, in milliseconds, between two rounds of scale-out, and between two rounds of preemption for jobs
  * below rank `prod`. Nodes take many seconds to boot.
@@ -30,7 +30,7 @@
  */
 export const MIN_START_LIMIT_PER_CYCLE = 300;
 /** Tolerance for comparing resource amounts. Amounts are decimals, and smaller differences are rounding errors. */
-export const EPSILON = 1e-6;
+export const RESOURCE_TOLERANCE = 1e-6;
 /** Minimum billed time of an on-demand instance, in milliseconds. Terminating it earlier saves nothing. */
 export const MIN_BILLED_MS = 60_000;
 /**
@@ -76,7 +76,7 @@
  * A job that has waited this many seconds for running tasks to complete gets nodes of its own. Otherwise newer jobs
  * with earlier deadlines could take the freed capacity again and again.
  */
-export const OCCUPIED_CAPACITY_WAIT_S = 60;
+export const MAX_OCCUPIED_CAPACITY_WAIT_S = 60;
 /**
  * A job that missed its last deadline is queued as if it were due this many milliseconds after its earliest deadline,
  * so that a stream of newer jobs can't delay it forever.
@@ -93,24 +93,24 @@
  * A job that has waited this many milliseconds without a running task is queued with the jobs within their team's
  * guarantee, so that even the largest jobs start in time.
  */
-export const STARVATION_MS = 100_000;
+export const STARVATION_WAIT_MS = 100_000;
 /** Milliseconds per hour. */
 export const MS_PER_HOUR = 3_600_000;
 /** Expected number of spot interruptions per hour of use before any use has been observed. */
 export const SPOT_PRIOR_INTERRUPTIONS_PER_HOUR = 2;
 /** That expectation has the same weight as this many hours of observed use. */
-export const SPOT_PRIOR_HOURS = 0.25;
+export const SPOT_PRIOR_WEIGHT_HOURS = 0.25;
 /**
  * Above this number of spot interruptions per hour of use, jobs with a deadline avoid spot nodes. Such a job is done
  * only when its last task is.
  */
 export const MAX_SPOT_INTERRUPTIONS_PER_HOUR = 4;
 /** Spot interruptions within this many milliseconds of the first one count as one burst. */
-export const SPOT_BURST_MS = 10_000;
+export const SPOT_BURST_WINDOW_MS = 10_000;
 /** Of the interruptions in a burst, at most this multiple of the number expected in that time is counted. */
-export const SPOT_BURST_FACTOR = 3;
+export const MAX_COUNTED_SPOT_BURST_RATIO = 3;
 /** At least this many interruptions of a burst are counted, if there are as many. */
-export const SPOT_BURST_MIN_COUNTED = 3;
+export const MIN_COUNTED_SPOT_BURST = 3;
 /** Minimum interval between two writes of the observed interruptions, in milliseconds. */
 export const SPOT_INTERRUPTIONS_WRITE_INTERVAL_MS = 30_000;
 /** Time window, in milliseconds, in which the arrivals of a job class are counted to compute its headroom. */
@@ -118,7 +118,7 @@
 /** Headroom as a multiple of the tasks expected to arrive while a node boots. Jobs do not arrive evenly. */
 export const HEADROOM_MARGIN = 1.5;
 /** Maximum headroom, as a number of jobs of average size. */
-export const HEADROOM_MAX_JOBS = 3;
+export const MAX_HEADROOM_JOBS = 3;
 /**
  * Expected time, in seconds, between the end of the catalog's boot time and the start of a task: the node has to send a
  * heartbeat and pull an image.
--- a/src/constants/task-retries.ts
+++ b/src/constants/task-retries.ts
@@ -7,4 +7,4 @@
  */
 export const MAX_FAILURE_BACKOFF_MS = 60_000;
 /** A node is quarantined after tasks of this many jobs failed on it, if tasks of these jobs run on other nodes. */
-export const QUARANTINE_AFTER_JOBS = 2;
+export const QUARANTINE_AFTER_FAILED_JOBS = 2;
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -1,39 +1,39 @@
 /** Constants for workers: their heartbeats, commands and leases. */
 
 /** Margin, in milliseconds, after the end of a worker's lease before its tasks count as ended. */
-export const LEASE_MARGIN_MS = 300;
+export const LEASE_EXPIRY_MARGIN_MS = 300;
 /** Timeout of a direct call that sends commands to a worker, in milliseconds. */
 export const COMMAND_CALL_TIMEOUT_MS = 3_000;
 /** Minimum interval, in milliseconds, between two direct calls that carry the same stop command. */
 export const STOP_RESEND_INTERVAL_MS = 3_000;
 /** No tasks are placed on a node that sent no heartbeat for this many heartbeat intervals. */
-export const UNSCHEDULABLE_AFTER_HEARTBEATS = 2.5;
+export const UNSCHEDULABLE_AFTER_HEARTBEAT_INTERVALS = 2.5;
 /** A node that sent no heartbeat for this many heartbeat intervals counts as lost and is replaced. */
-export const UNREACHABLE_AFTER_HEARTBEATS = 3;
+export const UNREACHABLE_AFTER_HEARTBEAT_INTERVALS = 3;
 /**
  * Maximum time between two heartbeats, as a multiple of the heartbeat interval. By the protocol a worker deviates from
  * the interval by up to a quarter.
  */
-export const HEARTBEAT_GAP_RATIO = 1.25;
+export const MAX_HEARTBEAT_GAP_RATIO = 1.25;
 /**
  * A heartbeat is overdue after this many heartbeat intervals. This is longer than any regular gap, and shorter than the
  * time after which a node counts as lost.
  */
-export const OVERDUE_AFTER_HEARTBEATS = 1.5;
+export const OVERDUE_AFTER_HEARTBEAT_INTERVALS = 1.5;
 /**
  * If more than this share of the nodes of one controller is overdue together, the controller is probably unreachable.
  */
-export const SUSPECT_CONTROLLER_SHARE = 0.05;
+export const SUSPECT_CONTROLLER_OVERDUE_SHARE = 0.05;
 /**
  * If more than this share of all nodes is overdue together, they are probably partitioned from the leader and not lost.
  */
-export const MASS_OUTAGE_NODES_SHARE = 0.25;
+export const MASS_OUTAGE_OVERDUE_SHARE = 0.25;
 /** Up to this many nodes may be overdue at once through independent failures, regardless of the number of nodes. */
 export const MAX_ISOLATED_OUTAGES = 2;
 /** By the protocol, a worker that gets no answer turns to another controller after this many milliseconds. */
-export const WORKER_GIVE_UP_MS = 4_000;
+export const WORKER_RESPONSE_TIMEOUT_MS = 4_000;
 /** By the protocol, a worker that was not served waits this many milliseconds before it tries the next controller. */
-export const WORKER_RETRY_MS = 1_000;
+export const WORKER_RETRY_DELAY_MS = 1_000;
 /** Margin, in milliseconds, for the network latency of a heartbeat and for one redirect. */
 export const HEARTBEAT_REDIRECT_MARGIN_MS = 1_000;
 /** After this many consecutive responses without effect, responses are considered not to reach the node. */
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -3,7 +3,11 @@
 import { LeasedRoles } from '@pumicehinge/duties';
 import type { Clock } from '@pumicehinge/runtime';
 import { UserApi } from './api/user-api.js';
-import { CLOUD_RATE_SHARE, DELEGATED_CLOUD_SHARES, WAITING_HEARTBEATS_SHARE } from './constants.js';
+import {
+  CLOUD_RATE_SHARE,
+  DELEGATED_CLOUD_RATE_SHARES,
+  WAITING_HEARTBEATS_SOCKET_SHARE,
+} from './constants.js';
 import { ControllerRoleStore } from './duties/controller-role-store.js';
 import { readCurrentLeader } from './duties/current-leader.js';
 import { HttpCloudProvider } from './duties/http-cloud-provider.js';
@@ -156,7 +160,7 @@
     const { settings, clock, random, log, httpClient } = this.environment;
     const { replica, batcher, storeClient } = this;
     const usableRequestsPerSecond = settings.cloud.rps * CLOUD_RATE_SHARE;
-    const cloudRateShares = DELEGATED_CLOUD_SHARES;
+    const cloudRateShares = DELEGATED_CLOUD_RATE_SHARES;
     return new LeasedRoles({
       member: settings.member,
       store: new ControllerRoleStore(replica, batcher, storeClient),
@@ -241,7 +245,7 @@
       channel: peers,
       log,
       random,
-      maxPending: Math.ceil(settings.sockets.forClients * WAITING_HEARTBEATS_SHARE),
+      maxPending: Math.ceil(settings.sockets.forClients * WAITING_HEARTBEATS_SOCKET_SHARE),
       leader: () => this.election.view.reachableLeader(),
       refusingLeader: () => this.heartbeatRouter.refusingLeader(),
       handleLocally: (body, respond) => this.heartbeatRouter.handleLocally(body, respond),
--- a/src/election/cancellation-log.ts
+++ b/src/election/cancellation-log.ts
@@ -1,5 +1,5 @@
 /** A bounded log of cancelled jobs. A leader that the state store does not serve reads it to catch up. */
-import { CANCELLATION_LOG_ENTRIES } from '../constants.js';
+import { MIN_CANCELLATION_LOG_ENTRIES } from '../constants.js';
 import type { LogOffset } from '../peers/peer-messages.js';
 import type { WireInt } from '../wire/json.js';
 
@@ -27,8 +27,8 @@
   /** Appends a cancelled job. The oldest entries are dropped in batches. */
   append(key: string, modRevision: WireInt): void {
     this.entries.push({ key, modRevision });
-    if (this.entries.length < 2 * CANCELLATION_LOG_ENTRIES) return;
-    for (const entry of this.entries.splice(0, CANCELLATION_LOG_ENTRIES)) {
+    if (this.entries.length < 2 * MIN_CANCELLATION_LOG_ENTRIES) return;
+    for (const entry of this.entries.splice(0, MIN_CANCELLATION_LOG_ENTRIES)) {
       if (entry.modRevision > this.maxDroppedRevision) this.maxDroppedRevision = entry.modRevision;
       this.firstSequence++;
     }
--- a/src/election/cancellation-watermark.ts
+++ b/src/election/cancellation-watermark.ts
@@ -6,11 +6,11 @@
 import {
   AUTHORITY_MARGIN_MS,
   CANCELLATION_MARGIN_MS,
-  CLOCK_DRIFT,
-  LEASE_MARGIN_MS,
-  LEASE_VOTE_MS,
+  MAX_CLOCK_DRIFT_RATIO,
+  LEASE_EXPIRY_MARGIN_MS,
+  LEASE_VOTE_DURATION_MS,
   RELAY_RESPONSE_VALIDITY_MS,
-  START_CANCELLATION_LAG_MS,
+  MAX_START_CANCELLATION_LAG_MS,
 } from '../constants.js';
 
 /**
@@ -24,9 +24,9 @@
  * @param leaseS - duration of a worker's lease in seconds
  */
 export function maxCancellationLagMs(cancelS: number, leaseS: number): number {
-  const maxLeaseMs = leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+  const maxLeaseMs = leaseS * 1000 * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_EXPIRY_MARGIN_MS;
   return (
-    cancelS * 1000 * (1 - CLOCK_DRIFT) -
+    cancelS * 1000 * (1 - MAX_CLOCK_DRIFT_RATIO) -
     maxLeaseMs -
     RELAY_RESPONSE_VALIDITY_MS -
     AUTHORITY_MARGIN_MS -
@@ -68,7 +68,7 @@
    * confirm further cancellations. Therefore the watermark must be more recent if the cancellations come from the peers.
    */
   mayStart(nowMs: number, source: CancellationSource): boolean {
-    const maxLagMs = source === 'stateStore' ? START_CANCELLATION_LAG_MS : LEASE_VOTE_MS;
+    const maxLagMs = source === 'stateStore' ? MAX_START_CANCELLATION_LAG_MS : LEASE_VOTE_DURATION_MS;
     return nowMs - this.completeUntilMs < maxLagMs;
   }
 }
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -8,9 +8,9 @@
   CAMPAIGN_JITTER_MS,
   LEADER_LEASE_RENEWAL_MS,
   LEADER_LEASE_TTL_MS,
-  LEASE_VOTE_REQUEST_MS,
+  LEASE_VOTE_REQUEST_INTERVAL_MS,
   STATE_CALL_TIMEOUT_MS,
-  STATE_FAILING_AFTER_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
 } from '../constants.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
 import { LEADER_KEY, TERM_KEY } from '../state/records.js';
@@ -125,7 +125,7 @@
       case 'campaignEnded':
         return this.onCampaignEnded(message.campaign);
       case 'campaignFailed':
-        return this.becomeFollower(STATE_FAILING_AFTER_MS);
+        return this.becomeFollower(STATE_UNAVAILABLE_AFTER_MS);
       case 'leaseRenewalAnswered':
         return this.onLeaseRenewalAnswered(message.leaseId, message.requestedAtMs, message.isAlive);
       case 'leaseRenewalFailed':
@@ -142,7 +142,7 @@
 
   private tickIntervalMs(): number {
     if (this.role.kind !== 'leader') return CAMPAIGN_JITTER_MS;
-    return this.options.storeClient.isFailing ? LEASE_VOTE_REQUEST_MS : LEADER_LEASE_RENEWAL_MS;
+    return this.options.storeClient.isFailing ? LEASE_VOTE_REQUEST_INTERVAL_MS : LEADER_LEASE_RENEWAL_MS;
   }
 
   private onTick(): void {
--- a/src/election/leadership-authority.ts
+++ b/src/election/leadership-authority.ts
@@ -3,7 +3,7 @@
  * no input or output.
  */
 import { LeaseAuthority } from '@pumicehinge/runtime';
-import { AUTHORITY_MARGIN_MS, CLOCK_DRIFT } from '../constants.js';
+import { AUTHORITY_MARGIN_MS, MAX_CLOCK_DRIFT_RATIO } from '../constants.js';
 
 /**
  * Tracks until when this controller is certainly the only one that may answer workers. Renewals of its lease renew the
@@ -13,6 +13,6 @@
 export class LeadershipAuthority extends LeaseAuthority {
   /** Starts without authority. The safety margin covers a pause between the check and the sending of an answer. */
   constructor() {
-    super({ safetyMarginMs: AUTHORITY_MARGIN_MS, maxClockDriftRatio: CLOCK_DRIFT });
+    super({ safetyMarginMs: AUTHORITY_MARGIN_MS, maxClockDriftRatio: MAX_CLOCK_DRIFT_RATIO });
   }
 }
--- a/src/election/lease-vote-collector.ts
+++ b/src/election/lease-vote-collector.ts
@@ -1,5 +1,5 @@
 /** The leader's side of lease votes. It requests votes while the state store fails, and counts the responses. */
-import { LEASE_VOTE_MS } from '../constants.js';
+import { LEASE_VOTE_DURATION_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
 import type { CancellationsMessage, LeaseVote, LogOffset } from '../peers/peer-messages.js';
 import { decodeJob, isCancelledJob, isJobKey } from '../state/records.js';
@@ -59,7 +59,7 @@
     const round = this.findOpenRound(vote, term);
     if (!round || !vote.isGranted) return;
     if (round.recordVote(member))
-      term.authority.extend(round.requestedAtMs, LEASE_VOTE_MS, this.dependencies.nowMs());
+      term.authority.extend(round.requestedAtMs, LEASE_VOTE_DURATION_MS, this.dependencies.nowMs());
     this.recordCancellationsMerged(round, member, round.recordTransfer(member, vote.transfer));
   }
 
--- a/src/election/lease-voter.ts
+++ b/src/election/lease-voter.ts
@@ -1,13 +1,13 @@
 /** The followers' side of lease votes. It grants votes and sends the cancellations that the leader lacks. */
 import {
-  CANCELLATION_LOG_IDS,
-  CLOCK_DRIFT,
+  CANCELLATION_LOG_ID_RANGE,
+  MAX_CLOCK_DRIFT_RATIO,
   KEY_VALUE_OVERHEAD_BYTES,
   LEASE_VOTE_MARGIN_MS,
-  LEASE_VOTE_MS,
+  LEASE_VOTE_DURATION_MS,
   MAX_PEER_FRAME_BYTES,
-  STATE_FAILING_AFTER_MS,
-  STATE_PROBE_TIMEOUT_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
+  STATE_STORE_PROBE_TIMEOUT_MS,
 } from '../constants.js';
 import type { CancellationTransfer, LeaseVoteRequest } from '../peers/peer-messages.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
@@ -61,7 +61,7 @@
     // A restarted controller does not know how its former process voted. It waits as long as if that process had granted a
     // vote when this process started.
     this.grantedVotesEndAtMs = processStartMs === undefined ? nowMs() : computeVoteEndMs(processStartMs);
-    this.cancellationLog = new CancellationLog(Math.floor(random() * CANCELLATION_LOG_IDS));
+    this.cancellationLog = new CancellationLog(Math.floor(random() * CANCELLATION_LOG_ID_RANGE));
     const jobBytes = maxValueBytes + KEY_VALUE_OVERHEAD_BYTES;
     this.jobsPerMessage = Math.max(
       1,
@@ -124,7 +124,7 @@
     if (!this.dependencies.isFollower()) return false;
     if (decodeTerm(replica.get(TERM_KEY)?.value) > term) return false;
     if (storeClient.isFailing) return true;
-    if (this.dependencies.nowMs() - storeClient.lastServedMs <= STATE_FAILING_AFTER_MS) return false;
+    if (this.dependencies.nowMs() - storeClient.lastServedMs <= STATE_UNAVAILABLE_AFTER_MS) return false;
     return this.isProbeOverdue();
   }
 
@@ -141,11 +141,11 @@
       };
       this.dependencies.replica.linearizableRead().then(endProbe, endProbe);
     }
-    return nowMs - this.probeStartedAtMs > STATE_PROBE_TIMEOUT_MS;
+    return nowMs - this.probeStartedAtMs > STATE_STORE_PROBE_TIMEOUT_MS;
   }
 }
 
 /** Returns the time at which a vote granted at `grantedAtMs` has certainly ended, also by the clock of the leader. */
 function computeVoteEndMs(grantedAtMs: number): number {
-  return grantedAtMs + LEASE_VOTE_MS * (1 + CLOCK_DRIFT) + LEASE_VOTE_MARGIN_MS;
+  return grantedAtMs + LEASE_VOTE_DURATION_MS * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_VOTE_MARGIN_MS;
 }
--- a/src/election/node-zones.ts
+++ b/src/election/node-zones.ts
@@ -1,5 +1,5 @@
 /** The distribution of the nodes over the zones, which decides which controllers should preferably lead. */
-import { MIN_NODES_TO_JUDGE, REMOTE_ZONE_NODE_SHARE } from '../constants.js';
+import { MIN_NODE_SAMPLE_SIZE, REMOTE_ZONE_MAX_NODE_SHARE } from '../constants.js';
 import { decodeNodeGroup, NODE_GROUPS_PREFIX } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 
@@ -25,8 +25,8 @@
   isRemote(zone: string): boolean {
     const largestNodeCount = Math.max(0, ...this.nodeCountsByZone.values());
     return (
-      largestNodeCount >= MIN_NODES_TO_JUDGE &&
-      (this.nodeCountsByZone.get(zone) ?? 0) <= largestNodeCount * REMOTE_ZONE_NODE_SHARE
+      largestNodeCount >= MIN_NODE_SAMPLE_SIZE &&
+      (this.nodeCountsByZone.get(zone) ?? 0) <= largestNodeCount * REMOTE_ZONE_MAX_NODE_SHARE
     );
   }
 }
--- a/src/election/peer-failure-detector.ts
+++ b/src/election/peer-failure-detector.ts
@@ -2,7 +2,7 @@
  * Failure detection among controllers. It tracks which peers are alive, which are eligible to lead, and to which leader each
  * of them relays heartbeats.
  */
-import { PEER_HEARTBEAT_MS } from '../constants.js';
+import { PEER_HEARTBEAT_INTERVAL_MS } from '../constants.js';
 import type { StatusMessage } from '../peers/peer-messages.js';
 import type { Peer } from '../peers/peer-transport.js';
 
@@ -10,9 +10,9 @@
  * Milliseconds without a message after which a peer no longer counts as alive. This is longer than `SUSPECT_AFTER_MS` because
  * a peer that is not alive is not used at all.
  */
-const DEAD_AFTER_MS = 3 * PEER_HEARTBEAT_MS;
+const DEAD_AFTER_MS = 3 * PEER_HEARTBEAT_INTERVAL_MS;
 /** Milliseconds without a message after which a peer is suspect, because it may be cut off. */
-const SUSPECT_AFTER_MS = 2 * PEER_HEARTBEAT_MS;
+const SUSPECT_AFTER_MS = 2 * PEER_HEARTBEAT_INTERVAL_MS;
 
 /** Derives the state of the other controllers from their messages. */
 export class PeerFailureDetector {
--- a/src/election/status-announcer.ts
+++ b/src/election/status-announcer.ts
@@ -2,7 +2,7 @@
  * Regularly announces to the peers whether this controller is eligible to lead, and to which leader it relays heartbeats.
  */
 import type { Clock } from '@pumicehinge/runtime';
-import { PEER_HEARTBEAT_MS } from '../constants.js';
+import { PEER_HEARTBEAT_INTERVAL_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
 import type { StoreClient } from '../state/store-client.js';
 import type { CampaignSchedule } from './campaign-schedule.js';
@@ -27,7 +27,7 @@
   /** Announces the status now and then once per heartbeat interval. */
   start(): void {
     this.announce();
-    this.dependencies.clock.after(PEER_HEARTBEAT_MS, () => this.start());
+    this.dependencies.clock.after(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
   }
 
   private announce(): void {
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,7 +1,12 @@
 /** HTTP client with pooled connections over TCP sockets. */
 import { Socket } from 'node:net';
 import type { Clock } from '@pumicehinge/runtime';
-import { MAX_ANSWER_BYTES, POOL_IDLE_MS, POOL_QUEUE, POOL_SIZE } from '../constants.js';
+import {
+  MAX_RESPONSE_BYTES,
+  POOL_IDLE_TIMEOUT_MS,
+  MAX_POOL_QUEUE_CALLS,
+  MAX_POOL_CONNECTIONS,
+} from '../constants.js';
 import {
   AnswerTooLargeError,
   CallError,
@@ -160,7 +165,7 @@
   ) {}
 
   submit(call: PendingCall): void {
-    if (this.queuedCalls.length >= POOL_QUEUE) {
+    if (this.queuedCalls.length >= MAX_POOL_QUEUE_CALLS) {
       call.reject(new CallError('unsent', 'too many queued calls'));
       return;
     }
@@ -178,7 +183,10 @@
 
   closeIdleConnections(nowMs: number): void {
     // The connection is removed from the list here because the `close` event of its socket comes only after this loop.
-    while (this.idleConnections.length > 0 && nowMs - this.idleConnections[0]!.idleSinceMs > POOL_IDLE_MS)
+    while (
+      this.idleConnections.length > 0 &&
+      nowMs - this.idleConnections[0]!.idleSinceMs > POOL_IDLE_TIMEOUT_MS
+    )
       this.idleConnections.shift()!.close();
   }
 
@@ -243,11 +251,11 @@
   constructor(
     private readonly clock: Clock,
     /** Limit of the open connections to one address. */
-    private readonly maxConnectionsPerAddress: number = POOL_SIZE,
+    private readonly maxConnectionsPerAddress: number = MAX_POOL_CONNECTIONS,
     /** Limit of the open connections to all addresses together. */
     maxConnections = Infinity,
     /** Size limit of one response body, in bytes. */
-    private readonly maxResponseBytes: number = MAX_ANSWER_BYTES,
+    private readonly maxResponseBytes: number = MAX_RESPONSE_BYTES,
   ) {
     this.budget = new ConnectionBudget(maxConnections);
     this.scheduleIdleSweep();
@@ -315,7 +323,7 @@
 
   /** Closes idle connections and removes unused pools at regular intervals. */
   private scheduleIdleSweep(): void {
-    this.cancelIdleSweep = this.clock.after(POOL_IDLE_MS / 2, () => {
+    this.cancelIdleSweep = this.clock.after(POOL_IDLE_TIMEOUT_MS / 2, () => {
       const nowMs = this.clock.steadyMs();
       for (const [address, pool] of this.pools) {
         pool.closeIdleConnections(nowMs);
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,5 +1,10 @@
 /** Parses HTTP/1.1 messages from the bytes of a connection. */
-import { CHECKED_HEADER_BYTES, CHECKED_HEADER_LINES, MAX_HEAD_BYTES, MAX_HEADERS } from '../constants.js';
+import {
+  MAX_CACHED_HEADER_BYTES,
+  MAX_CACHED_HEADER_LINES,
+  MAX_HEAD_BYTES,
+  MAX_HEADER_LINES,
+} from '../constants.js';
 
 /** A message that is split into start line, headers and body. The start line and the body are not interpreted. */
 export interface RawMessage {
@@ -40,7 +45,7 @@
   if (!TOKEN.test(name) || /[\x00-\x08\x0a-\x1f\x7f]/.test(value))
     throw new HttpSyntaxError(400, 'invalid character in a header line');
   const header: Header = [name.toLowerCase(), value];
-  if (parsedHeaderLines.size < CHECKED_HEADER_LINES && line.length <= CHECKED_HEADER_BYTES)
+  if (parsedHeaderLines.size < MAX_CACHED_HEADER_LINES && line.length <= MAX_CACHED_HEADER_BYTES)
     parsedHeaderLines.set(line, header);
   return header;
 }
@@ -159,7 +164,7 @@
     const lines = this.consume(end + 4)
       .toString('latin1', 0, end)
       .split('\r\n');
-    if (lines.length - 1 > MAX_HEADERS) throw new HttpSyntaxError(431, 'too many header lines');
+    if (lines.length - 1 > MAX_HEADER_LINES) throw new HttpSyntaxError(431, 'too many header lines');
     const startLine = lines[0]!;
     const version = this.parseHttpVersion(startLine);
     const headers = new Map<string, string>();
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -3,11 +3,11 @@
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
 import {
-  CROWDED_SHARE,
-  IDLE_CONNECTION_MS,
-  LEFT_CONNECTION_MS,
+  SCARCE_SOCKETS_SHARE,
+  IDLE_CONNECTION_TIMEOUT_MS,
+  ABANDONED_CONNECTION_TIMEOUT_MS,
   MAX_BODY_BYTES,
-  REQUEST_READ_MS,
+  REQUEST_READ_TIMEOUT_MS,
 } from '../constants.js';
 import type { RequestHandler, HttpRequest, HttpResponse } from './message.js';
 import { HttpParser, HttpSyntaxError, type RawMessage } from './parser.js';
@@ -83,7 +83,7 @@
 
   /** Whether there was no request for so long that the client is most likely gone without having closed the connection. */
   isAbandoned(nowMs: number): boolean {
-    return !this.isHandlingRequest && nowMs - this.lastActivityMs > LEFT_CONNECTION_MS;
+    return !this.isHandlingRequest && nowMs - this.lastActivityMs > ABANDONED_CONNECTION_TIMEOUT_MS;
   }
 
   get isBusy(): boolean {
@@ -97,7 +97,7 @@
   /** Closes the connection if it is idle for too long or if a request does not arrive completely in time. */
   closeIfTimedOut(nowMs: number): void {
     if (this.isHandlingRequest) return;
-    const timeoutMs = this.parser.isIdle ? IDLE_CONNECTION_MS : REQUEST_READ_MS;
+    const timeoutMs = this.parser.isIdle ? IDLE_CONNECTION_TIMEOUT_MS : REQUEST_READ_TIMEOUT_MS;
     if (nowMs - this.lastActivityMs > timeoutMs) this.socket.destroy();
   }
 
@@ -176,7 +176,7 @@
     return false;
   };
   // If there are fewer connections than clients, no client may keep one while others are refused.
-  const scarcityThreshold = Math.ceil(maxConnections * CROWDED_SHARE);
+  const scarcityThreshold = Math.ceil(maxConnections * SCARCE_SOCKETS_SHARE);
   let hasWarned = false;
   const areConnectionsScarce = (): boolean => {
     const isScarce = connections.size > scarcityThreshold;
@@ -205,7 +205,7 @@
   const timeoutSweep = setInterval(() => {
     const nowMs = clock.steadyMs();
     for (const connection of connections.values()) connection.closeIfTimedOut(nowMs);
-  }, REQUEST_READ_MS / 2);
+  }, REQUEST_READ_TIMEOUT_MS / 2);
   server.on('close', () => clearInterval(timeoutSweep));
   return new Promise((resolve, reject) => {
     server.once('error', reject);
--- a/src/leader/job-store.ts
+++ b/src/leader/job-store.ts
@@ -1,6 +1,6 @@
 /** The jobs of a leader's term. They are read from the state store, updated when it changes, and written back to it. */
 import type { Logger } from 'pino';
-import { COMPLETION_SEGMENTS_PER_WRITE, MALFORMED_VALUE_RETRY_MS } from '../constants.js';
+import { MAX_COMPLETION_SEGMENTS_PER_WRITE, MALFORMED_VALUE_RETRY_DELAY_MS } from '../constants.js';
 import type { Job } from '../cluster/cluster-state.js';
 import { propagatePriority } from '../pipeline/inherited-priority.js';
 import { Job as PipelineJob } from '../pipeline/job.js';
@@ -154,7 +154,7 @@
       return;
     // Only a few segments are written at a time, so that a write stays within the limits of the state store.
     const write = job.beginWrite(
-      Math.min(COMPLETION_SEGMENTS_PER_WRITE, this.dependencies.maxOperations - 1),
+      Math.min(MAX_COMPLETION_SEGMENTS_PER_WRITE, this.dependencies.maxOperations - 1),
     );
     const conditions: Condition[] = [{ key: jobKey(job.uid), modRevision: write.modRevision }];
     const operations: Operation[] = [{ key: jobKey(job.uid), value: encodeJob(write.record) }];
@@ -178,7 +178,7 @@
     job.persistence.abortWrite(write);
     // A value that the state store rejects as malformed would be rejected again, so it is not resent at once.
     if (result.outcome === 'refused' && result.malformed) {
-      job.persistence.postponeWrites(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_MS);
+      job.persistence.postponeWrites(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_DELAY_MS);
       this.dependencies.log.error({ job: job.uid }, 'job write rejected as malformed');
     }
     // Another controller may have written a cancellation, or the outcome may be unknown. The stored value decides.
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -5,10 +5,10 @@
 import { Actor, assertNever } from '@pumicehinge/runtime';
 import {
   FLEET_REVIEW_MIN_INTERVAL_MS,
-  FLEET_REVIEW_REST_RATIO,
+  FLEET_REVIEW_INTERVAL_RATIO,
   SCHEDULING_CYCLE_MAX_INTERVAL_MS,
   SCHEDULING_CYCLE_MIN_INTERVAL_MS,
-  SCHEDULING_CYCLE_REST_RATIO,
+  SCHEDULING_CYCLE_INTERVAL_RATIO,
 } from '../constants.js';
 import { isDelegatedLeasesKey, isJobKey } from '../state/records.js';
 import type { KeyChange } from '../state/store-client.js';
@@ -35,12 +35,12 @@
     const { clock, log } = dependencies;
     this.schedulingCycleTask = new ThrottledTask(
       clock,
-      { minIntervalMs: SCHEDULING_CYCLE_MIN_INTERVAL_MS, restRatio: SCHEDULING_CYCLE_REST_RATIO },
+      { minIntervalMs: SCHEDULING_CYCLE_MIN_INTERVAL_MS, restRatio: SCHEDULING_CYCLE_INTERVAL_RATIO },
       () => this.send({ kind: 'schedulingCycleDue' }),
     );
     this.fleetReviewThrottle = new Throttle(clock, {
       minIntervalMs: FLEET_REVIEW_MIN_INTERVAL_MS,
-      restRatio: FLEET_REVIEW_REST_RATIO,
+      restRatio: FLEET_REVIEW_INTERVAL_RATIO,
     });
     this.components = new LeaderComponents(dependencies, {
       send: (message) => this.send(message),
--- a/src/leader/leadership.ts
+++ b/src/leader/leadership.ts
@@ -1,6 +1,6 @@
 /** Manages the leader of this controller, which is built when a term begins and discarded when the term ends. */
 import { sleep } from '@pumicehinge/runtime';
-import { STATE_RETRY_MS } from '../constants.js';
+import { STATE_RETRY_DELAY_MS } from '../constants.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
 import { RelayRedirector } from '../workers/relay-redirector.js';
 import { Leader } from './leader.js';
@@ -42,7 +42,7 @@
         break;
       } catch {
         // The read is repeated after any failure, because nothing may be decided without it.
-        await sleep(clock, STATE_RETRY_MS);
+        await sleep(clock, STATE_RETRY_DELAY_MS);
       }
     }
     if (!isCurrentTerm(term)) return;
--- a/src/leader/running-task-counts.ts
+++ b/src/leader/running-task-counts.ts
@@ -3,7 +3,7 @@
  * controllers.
  */
 import type { Clock } from '@pumicehinge/runtime';
-import { PEER_HEARTBEAT_MS } from '../constants.js';
+import { PEER_HEARTBEAT_INTERVAL_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
 import type { Leader } from './leader.js';
 
@@ -35,7 +35,7 @@
   /** Broadcasts the counts now and then once per interval of the peer heartbeats, while this controller leads. */
   start(): void {
     this.broadcast();
-    this.dependencies.clock.after(PEER_HEARTBEAT_MS, () => this.start());
+    this.dependencies.clock.after(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
   }
 
   private broadcast(): void {
--- a/src/leader/scheduling-cycle.ts
+++ b/src/leader/scheduling-cycle.ts
@@ -6,7 +6,7 @@
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { Job } from '../cluster/cluster-state.js';
 import type { NodeRecords } from '../cluster/node-records.js';
-import { FLEET_REVIEW_REST_RATIO, SCALE_OUT_MIN_INTERVAL_MS, STARVATION_MS } from '../constants.js';
+import { FLEET_REVIEW_INTERVAL_RATIO, SCALE_OUT_MIN_INTERVAL_MS, STARVATION_WAIT_MS } from '../constants.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import { compareByRelease, findJobsWithinGuarantee } from '../scheduler/queue-order.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
@@ -41,7 +41,7 @@
   constructor(private readonly dependencies: SchedulingCycleDependencies) {
     this.scaleOutThrottle = new Throttle(dependencies.clock, {
       minIntervalMs: SCALE_OUT_MIN_INTERVAL_MS,
-      restRatio: FLEET_REVIEW_REST_RATIO,
+      restRatio: FLEET_REVIEW_INTERVAL_RATIO,
     });
   }
 
@@ -65,7 +65,7 @@
     openJobs.sort(
       compareByRelease(
         jobsWithinGuarantee,
-        (job) => nowMs - job.queueTimes.starvingSinceMs > STARVATION_MS,
+        (job) => nowMs - job.queueTimes.starvingSinceMs > STARVATION_WAIT_MS,
         (job) => deadlinesMs.get(job) ?? Infinity,
       ),
     );
--- a/src/main.ts
+++ b/src/main.ts
@@ -4,7 +4,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { systemClock } from '@pumicehinge/runtime';
-import { POOL_SIZE } from './constants.js';
+import { MAX_POOL_CONNECTIONS } from './constants.js';
 import { Controller } from './controller.js';
 import { SocketCaller } from './http/client.js';
 import { serveHttp } from './http/server.js';
@@ -44,7 +44,7 @@
     processStartMs: 0,
     memoryUsedBytes,
     random: () => uniformFloat64(randomGenerator),
-    httpClient: new SocketCaller(clock, POOL_SIZE, Infinity, memoryLimits.maxResponseBytes),
+    httpClient: new SocketCaller(clock, MAX_POOL_CONNECTIONS, Infinity, memoryLimits.maxResponseBytes),
     workerHttpClient: new SocketCaller(clock, 1, settings.sockets.forCommands),
     peers,
     log,
--- a/src/memory-guard.ts
+++ b/src/memory-guard.ts
@@ -1,7 +1,7 @@
 /** Monitors the memory usage, so that user requests are rejected before the process is killed because it ran out of memory. */
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
-import { MEMORY_CHECK_INTERVAL_MS, MEMORY_RECOVERED_RATIO } from './constants.js';
+import { MEMORY_CHECK_INTERVAL_MS, MEMORY_RECOVERY_RATIO } from './constants.js';
 
 /** Detects memory pressure. Its start and its end are each logged once. */
 export class MemoryGuard {
@@ -11,7 +11,7 @@
     private readonly clock: Clock,
     /** Returns how many bytes of heap and buffers are in use. */
     private readonly measureUsedBytes: () => number,
-    /** Memory pressure starts above this limit in bytes. It ends at `MEMORY_RECOVERED_RATIO` times the limit. */
+    /** Memory pressure starts above this limit in bytes. It ends at `MEMORY_RECOVERY_RATIO` times the limit. */
     private readonly limitBytes: number,
     private readonly log: Logger,
   ) {}
@@ -29,7 +29,7 @@
 
   private updatePressure(): void {
     const usedBytes = this.measureUsedBytes();
-    const limitBytes = this.underPressure ? this.limitBytes * MEMORY_RECOVERED_RATIO : this.limitBytes;
+    const limitBytes = this.underPressure ? this.limitBytes * MEMORY_RECOVERY_RATIO : this.limitBytes;
     const underPressure = usedBytes > limitBytes;
     if (underPressure === this.underPressure) return;
     this.underPressure = underPressure;
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -1,7 +1,7 @@
 /** The outgoing connection of this controller to one peer, which is dialed again whenever it is lost. */
 import { Socket } from 'node:net';
 import type { Clock } from '@pumicehinge/runtime';
-import { PEER_HEARTBEAT_MS, PEER_IDLE_TIMEOUT_MS, PEER_RECONNECT_MS } from '../constants.js';
+import { PEER_HEARTBEAT_INTERVAL_MS, PEER_IDLE_TIMEOUT_MS, PEER_RECONNECT_DELAY_MS } from '../constants.js';
 import { splitAddress } from '../http/server.js';
 import { encodePeerMessage } from './peer-codec.js';
 import { encodeFrame, FrameSender } from './peer-frames.js';
@@ -85,7 +85,9 @@
 
   private sendHeartbeats(session: SocketSession): void {
     this.send(encodePeerMessage({ kind: 'heartbeat' }));
-    session.stopHeartbeats = this.options.clock.after(PEER_HEARTBEAT_MS, () => this.sendHeartbeats(session));
+    session.stopHeartbeats = this.options.clock.after(PEER_HEARTBEAT_INTERVAL_MS, () =>
+      this.sendHeartbeats(session),
+    );
   }
 
   /**
@@ -101,7 +103,7 @@
     const wasStable =
       wasConnected &&
       session.connectedAtMs !== undefined &&
-      clock.steadyMs() - session.connectedAtMs >= PEER_RECONNECT_MS;
-    clock.after(wasStable ? 0 : PEER_RECONNECT_MS, () => this.dial());
+      clock.steadyMs() - session.connectedAtMs >= PEER_RECONNECT_DELAY_MS;
+    clock.after(wasStable ? 0 : PEER_RECONNECT_DELAY_MS, () => this.dial());
   }
 }
--- a/src/pipeline/job-persistence.ts
+++ b/src/pipeline/job-persistence.ts
@@ -2,7 +2,7 @@
  * The persisted part of a job: its last known record, its completed tasks, and which of these are persisted. The record
  * holds the first segment of the bitmap of completed tasks. Each further segment has a key and a revision of its own.
  */
-import { COMPLETION_SEGMENT_TASKS } from '../constants.js';
+import { TASKS_PER_COMPLETION_SEGMENT } from '../constants.js';
 import { CompletionBitmap } from '../state/completion-bitmap.js';
 import { decodeCompletionSegment, encodeCompletionSegment, type JobRecord } from '../state/records.js';
 import type { WireInt } from '../wire/json.js';
@@ -84,7 +84,7 @@
   /** Marks a task as completed. Returns false if it was already completed, or if the job has no such task. */
   markCompleted(task: number): boolean {
     if (!this.completedTasks.add(task)) return false;
-    const segment = Math.floor(task / COMPLETION_SEGMENT_TASKS);
+    const segment = Math.floor(task / TASKS_PER_COMPLETION_SEGMENT);
     if (segment > 0) this.dirtySegments.add(segment);
     return true;
   }
--- a/src/scheduler/node-filter.ts
+++ b/src/scheduler/node-filter.ts
@@ -1,5 +1,5 @@
 /** The filter step of the scheduler, which finds the nodes that can run a task. */
-import { EPSILON } from '../constants.js';
+import { RESOURCE_TOLERANCE } from '../constants.js';
 import type { Node } from '../cluster/cluster-state.js';
 import type { MutableResources } from '../cluster/resources.js';
 import type { JobSpec } from '../state/records.js';
@@ -18,5 +18,5 @@
 
 /** Whether any processor core or accelerator of the node is free, at least in part. */
 export function hasFreeCapacity({ free }: NodeCapacity): boolean {
-  return free.cpus > EPSILON || free.accelerators > EPSILON;
+  return free.cpus > RESOURCE_TOLERANCE || free.accelerators > RESOURCE_TOLERANCE;
 }
--- a/src/scheduler/placement-constraints.ts
+++ b/src/scheduler/placement-constraints.ts
@@ -2,7 +2,7 @@
  * The rules about where a task may run, as pure functions. A placement that violates them breaks the rule `wrong_place`
  * of the protocol.
  */
-import { EPSILON } from '../constants.js';
+import { RESOURCE_TOLERANCE } from '../constants.js';
 import type { Resources } from '../cluster/resources.js';
 import type { JobSpec } from '../state/records.js';
 
@@ -59,9 +59,9 @@
 /** Whether one task of this size fits into the free resources. */
 export function fits(taskSize: Resources, free: Resources): boolean {
   return (
-    taskSize.cpus <= free.cpus + EPSILON &&
-    taskSize.accelerators <= free.accelerators + EPSILON &&
-    taskSize.memGb <= free.memGb + EPSILON
+    taskSize.cpus <= free.cpus + RESOURCE_TOLERANCE &&
+    taskSize.accelerators <= free.accelerators + RESOURCE_TOLERANCE &&
+    taskSize.memGb <= free.memGb + RESOURCE_TOLERANCE
   );
 }
 
@@ -76,5 +76,5 @@
 }
 
 function countUnitsThatFit(needed: number, available: number): number {
-  return needed > 0 ? Math.floor((available + EPSILON) / needed) : Infinity;
+  return needed > 0 ? Math.floor((available + RESOURCE_TOLERANCE) / needed) : Infinity;
 }
--- a/src/scheduler/queue-order.ts
+++ b/src/scheduler/queue-order.ts
@@ -1,5 +1,5 @@
 /** Determines the order in which waiting jobs are scheduled. */
-import { EPSILON, LATE_JOB_DUE_DELAY_MS, NO_DEADLINE_JOB_DUE_DELAY_MS } from '../constants.js';
+import { RESOURCE_TOLERANCE, LATE_JOB_DUE_DELAY_MS, NO_DEADLINE_JOB_DUE_DELAY_MS } from '../constants.js';
 import { RANKS, type JobSpec, type Rank } from '../state/records.js';
 import type { TeamQuota } from './team-quota.js';
 
@@ -38,7 +38,8 @@
     if (!remaining) continue;
     remaining.cpus -= job.unfinishedTaskCount * job.spec.cpus;
     remaining.accelerators -= job.unfinishedTaskCount * job.spec.accelerators;
-    if (remaining.cpus >= -EPSILON && remaining.accelerators >= -EPSILON) withinGuarantee.add(job);
+    if (remaining.cpus >= -RESOURCE_TOLERANCE && remaining.accelerators >= -RESOURCE_TOLERANCE)
+      withinGuarantee.add(job);
   }
   return withinGuarantee;
 }
--- a/src/settings-warnings.ts
+++ b/src/settings-warnings.ts
@@ -1,16 +1,16 @@
 /** Warnings about settings that are valid but too low. */
 import {
-  FEWEST_CLIENT_SOCKETS,
+  MIN_CLIENT_SOCKETS,
   CANCELLATION_MARGIN_MS,
-  LEADER_REQUEST_SHARE,
-  LEAST_CLOUD_RPS,
-  LEAST_FOLLOWER_RPS,
-  LEAST_LEADER_WRITES,
-  LEAST_TXN_OPS,
-  LEAST_VALUE_BYTES,
-  LEADER_WRITE_SHARE,
+  LEADER_REQUEST_RATE_SHARE,
+  MIN_CLOUD_RPS,
+  MIN_FOLLOWER_RPS,
+  MIN_LEADER_WRITES_PER_S,
+  MIN_TRANSACTION_OPERATIONS,
+  MIN_VALUE_BYTES,
+  LEADER_WRITE_RATE_SHARE,
   PROCESS_BASE_BYTES,
-  REPORTS_PER_LEASE,
+  MIN_HEARTBEATS_PER_LEASE,
   STATE_RATE_SHARE,
   WATCH_GRACE_MS,
   WATCH_WAIT_MS,
@@ -30,39 +30,40 @@
  */
 export function settingsWarnings(settings: Settings): string[] {
   const { controllers, state, cloud, sockets, leaseS, reportS, cancelS, memoryBytes } = settings;
-  const followerRequestShare = (STATE_RATE_SHARE * (1 - LEADER_REQUEST_SHARE)) / controllers;
-  const leaderWriteShare = STATE_RATE_SHARE * ((1 - LEADER_WRITE_SHARE) / controllers + LEADER_WRITE_SHARE);
+  const followerRequestShare = (STATE_RATE_SHARE * (1 - LEADER_REQUEST_RATE_SHARE)) / controllers;
+  const leaderWriteShare =
+    STATE_RATE_SHARE * ((1 - LEADER_WRITE_RATE_SHARE) / controllers + LEADER_WRITE_RATE_SHARE);
   const maxWatchDelayS = (WATCH_WAIT_MS + WATCH_GRACE_MS + CANCELLATION_MARGIN_MS) / 1000;
   return [
     ...checkMinimum(
       'state.rps',
       state.rps,
-      roundUp(LEAST_FOLLOWER_RPS / followerRequestShare),
+      roundUp(MIN_FOLLOWER_RPS / followerRequestShare),
       'each controller watches the state store and reads from it for users',
     ),
     ...checkMinimum(
       'state.write_rps',
       state.writesPerS,
-      roundUp(LEAST_LEADER_WRITES / leaderWriteShare),
+      roundUp(MIN_LEADER_WRITES_PER_S / leaderWriteShare),
       'the leader writes the records of jobs and machines',
     ),
     ...checkMinimum(
       'state.value_kb',
       state.valueBytes / 1024,
-      LEAST_VALUE_BYTES / 1024,
+      MIN_VALUE_BYTES / 1024,
       'the records of machines and jobs must fit into a value',
     ),
     ...checkMinimum(
       'state.txn_ops',
       state.txnOps,
-      LEAST_TXN_OPS,
+      MIN_TRANSACTION_OPERATIONS,
       'a job with many finished tasks needs several writes in one transaction',
     ),
-    ...checkMinimum('cloud.rps', cloud.rps, LEAST_CLOUD_RPS, 'machines are rented, returned and listed'),
+    ...checkMinimum('cloud.rps', cloud.rps, MIN_CLOUD_RPS, 'machines are rented, returned and listed'),
     ...checkMinimum(
       'quota.max_connections (for clients)',
       sockets.forClients,
-      FEWEST_CLIENT_SOCKETS,
+      MIN_CLIENT_SOCKETS,
       'workers, users and health checks need connections',
     ),
     ...checkMinimum(
@@ -74,7 +75,7 @@
     ...checkMinimum(
       'workers.lease_s',
       leaseS,
-      REPORTS_PER_LEASE * reportS,
+      MIN_HEARTBEATS_PER_LEASE * reportS,
       'a lease must outlast lost heartbeats',
     ),
     ...checkMinimum(
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -6,7 +6,7 @@
 import type { DeadlineObjective } from './pipeline/job-pipeline.js';
 import type { TeamQuota } from './scheduler/team-quota.js';
 import type { StartObjective } from './autoscaler/headroom.js';
-import { DEFAULT_MEMORY_MB } from './constants.js';
+import { DEFAULT_MEMORY_MIB } from './constants.js';
 import { shareSockets, type SocketShares } from './sizing.js';
 import { validateOperator, validatePlatform } from './schema-validators.js';
 
@@ -177,7 +177,7 @@
     },
     cloud: { rps: deployment.cloud.rps, listLagS: deployment.cloud.list_lag_s },
     sockets: shareSockets(deployment.quota.max_connections),
-    memoryBytes: (deployment.quota.mem_mb ?? DEFAULT_MEMORY_MB) * 1024 * 1024,
+    memoryBytes: (deployment.quota.mem_mb ?? DEFAULT_MEMORY_MIB) * 1024 * 1024,
     operator,
   };
 }
--- a/src/sizing.ts
+++ b/src/sizing.ts
@@ -1,15 +1,15 @@
 /** Derives the limits of a controller from its size, which the settings give. All functions are pure. */
 import {
-  ANSWER_MEMORY_SHARE,
-  MAX_ANSWER_BYTES,
-  MEMORY_SHORT_SHARE,
-  MIN_ANSWER_BYTES,
+  RESPONSE_MEMORY_SHARE,
+  MAX_RESPONSE_BYTES,
+  USER_REJECTION_MEMORY_SHARE,
+  MIN_RESPONSE_LIMIT_BYTES,
   MAX_PEER_FRAME_BYTES,
   PEER_MEMORY_SHARE,
   PROCESS_BASE_BYTES,
   RESERVED_SOCKETS,
-  RESERVED_SOCKETS_SHARE,
-  WORKER_CALL_SHARE,
+  MAX_RESERVED_SOCKETS_SHARE,
+  WORKER_CALL_SOCKET_SHARE,
 } from './constants.js';
 
 /** How the sockets of a controller are divided. */
@@ -25,8 +25,8 @@
  * few sockets, only a limited share of them.
  */
 export function shareSockets(maxConnections: number): SocketShares {
-  const reservedSockets = Math.min(RESERVED_SOCKETS, Math.ceil(maxConnections * RESERVED_SOCKETS_SHARE));
-  const forCommands = Math.ceil(maxConnections * WORKER_CALL_SHARE);
+  const reservedSockets = Math.min(RESERVED_SOCKETS, Math.ceil(maxConnections * MAX_RESERVED_SOCKETS_SHARE));
+  const forCommands = Math.ceil(maxConnections * WORKER_CALL_SOCKET_SHARE);
   return { forClients: Math.max(1, maxConnections - reservedSockets - forCommands), forCommands };
 }
 
@@ -43,10 +43,10 @@
 /** Divides the memory that remains for data beside the runtime itself, whose size this program cannot influence. */
 export function divideMemory(memoryBytes: number, peerCount: number): MemoryLimits {
   const dataBytes = Math.max(memoryBytes - PROCESS_BASE_BYTES, memoryBytes / 4);
-  const responseShareBytes = Math.floor(dataBytes * ANSWER_MEMORY_SHARE);
+  const responseShareBytes = Math.floor(dataBytes * RESPONSE_MEMORY_SHARE);
   return {
-    rejectUsersAboveBytes: Math.floor(dataBytes * MEMORY_SHORT_SHARE),
-    maxResponseBytes: Math.min(MAX_ANSWER_BYTES, Math.max(MIN_ANSWER_BYTES, responseShareBytes)),
+    rejectUsersAboveBytes: Math.floor(dataBytes * USER_REJECTION_MEMORY_SHARE),
+    maxResponseBytes: Math.min(MAX_RESPONSE_BYTES, Math.max(MIN_RESPONSE_LIMIT_BYTES, responseShareBytes)),
     maxPeerBufferBytes: Math.max(
       MAX_PEER_FRAME_BYTES,
       Math.floor((dataBytes * PEER_MEMORY_SHARE) / Math.max(1, peerCount)),
--- a/src/state/state-replica.ts
+++ b/src/state/state-replica.ts
@@ -2,10 +2,10 @@
 import type { Logger } from 'pino';
 import { sleep, type Clock } from '@pumicehinge/runtime';
 import {
-  LINEARIZABLE_READ_INTERVAL_MS,
-  LOAD_PAGE_KEYS,
-  STATE_RETRY_MS,
-  WATCH_INTERVAL_MS,
+  MIN_LINEARIZABLE_READ_INTERVAL_MS,
+  REPLICA_LOAD_PAGE_KEYS,
+  STATE_RETRY_DELAY_MS,
+  MIN_WATCH_INTERVAL_MS,
   WATCH_WAIT_MS,
 } from '../constants.js';
 import { AnswerTooLargeError } from '../http/message.js';
@@ -92,11 +92,11 @@
         const requestedMs = this.clock.steadyMs();
         const changes = await this.client.watch(this.prefix, this.revision, WATCH_WAIT_MS);
         this.applyChanges(changes, requestedMs);
-        const pauseMs = requestedMs + WATCH_INTERVAL_MS - this.clock.steadyMs();
+        const pauseMs = requestedMs + MIN_WATCH_INTERVAL_MS - this.clock.steadyMs();
         if (pauseMs > 0) await sleep(this.clock, pauseMs);
       } catch (error) {
         this.onFailure(error);
-        await sleep(this.clock, STATE_RETRY_MS);
+        await sleep(this.clock, STATE_RETRY_DELAY_MS);
       }
     }
   }
@@ -125,7 +125,7 @@
   private async servePendingReads(): Promise<void> {
     this.isServingReads = true;
     while (this.pendingReads.length > 0) {
-      const pauseMs = this.lastReadMs + LINEARIZABLE_READ_INTERVAL_MS - this.clock.steadyMs();
+      const pauseMs = this.lastReadMs + MIN_LINEARIZABLE_READ_INTERVAL_MS - this.clock.steadyMs();
       if (pauseMs > 0) await sleep(this.clock, pauseMs);
       this.lastReadMs = this.clock.steadyMs();
       const servedReads = this.pendingReads;
@@ -158,7 +158,7 @@
     let firstRevision: WireInt | undefined;
     let lastKey: string | undefined;
     for (;;) {
-      const page = await this.client.listPage(this.prefix, lastKey, LOAD_PAGE_KEYS);
+      const page = await this.client.listPage(this.prefix, lastKey, REPLICA_LOAD_PAGE_KEYS);
       // Later pages are newer than the first, so a watch from the first page's revision misses no change.
       firstRevision ??= page.revision;
       for (const keyValue of page.keyValues) listedKeyValues.set(keyValue.key, keyValue);
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -1,11 +1,11 @@
 /** The client of the state store, a consensus-backed key-value store with reads, transactions and leases over HTTP. */
 import { RateLimiter, sleep, type Clock } from '@pumicehinge/runtime';
 import {
-  FOLLOWER_BURST_S,
-  LEADER_REQUEST_SHARE,
-  LEADER_WRITE_SHARE,
+  FOLLOWER_WRITE_BURST_S,
+  LEADER_REQUEST_RATE_SHARE,
+  LEADER_WRITE_RATE_SHARE,
   STATE_CALL_TIMEOUT_MS,
-  STATE_FAILING_AFTER_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
   STATE_RATE_SHARE,
   WATCH_GRACE_MS,
   WATCH_WAIT_MS,
@@ -93,11 +93,11 @@
     const { limits, controllerCount } = this.options;
     const share = (leaderShare: number): number =>
       STATE_RATE_SHARE * ((1 - leaderShare) / controllerCount + (isLeading ? leaderShare : 0));
-    this.requestRateLimiter.setRate(limits.rps * share(LEADER_REQUEST_SHARE));
+    this.requestRateLimiter.setRate(limits.rps * share(LEADER_REQUEST_RATE_SHARE));
     // A follower may write in bursts, because a user who submits a pipeline sends several jobs in a row to one
     // controller. The other followers write little meanwhile.
-    const burstS = isLeading ? 1 : FOLLOWER_BURST_S;
-    this.writeRateLimiter.setRate(limits.writesPerS * share(LEADER_WRITE_SHARE), burstS);
+    const burstS = isLeading ? 1 : FOLLOWER_WRITE_BURST_S;
+    this.writeRateLimiter.setRate(limits.writesPerS * share(LEADER_WRITE_RATE_SHARE), burstS);
   }
 
   /** Time of the steady clock at which the last served call ended. It is -Infinity before the first one. */
@@ -113,8 +113,8 @@
   /** Whether the store probably serves this controller. A single lost call does not count as a failure. */
   get isServed(): boolean {
     const nowMs = this.options.clock.steadyMs();
-    if (nowMs - this.failingSinceMs > STATE_FAILING_AFTER_MS) return false;
-    return nowMs - this.lastCallServedMs < WATCH_WAIT_MS + WATCH_GRACE_MS + STATE_FAILING_AFTER_MS;
+    if (nowMs - this.failingSinceMs > STATE_UNAVAILABLE_AFTER_MS) return false;
+    return nowMs - this.lastCallServedMs < WATCH_WAIT_MS + WATCH_GRACE_MS + STATE_UNAVAILABLE_AFTER_MS;
   }
 
   /**
--- a/src/state/transaction-batcher.ts
+++ b/src/state/transaction-batcher.ts
@@ -1,7 +1,7 @@
 /** Group commit: combines the writes of a controller into as few transactions of the state store as possible. */
 import type { Logger } from 'pino';
 import { assertNever, sleep, type Clock } from '@pumicehinge/runtime';
-import { MAX_QUEUED_WRITES, STATE_RETRY_MS } from '../constants.js';
+import { MAX_QUEUED_WRITES, STATE_RETRY_DELAY_MS } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
 import type { Condition, Operation } from './key-value.js';
 import type { StateReplica } from './state-replica.js';
@@ -123,7 +123,7 @@
         this.queue.unshift(...batch);
         // Users don't wait for the store during an outage. They are told when to retry instead.
         if (result.status !== 429) this.refuseUserWrites();
-        await sleep(this.clock, STATE_RETRY_MS);
+        await sleep(this.clock, STATE_RETRY_DELAY_MS);
         return;
       case 'unclear':
         for (const write of batch) write.resolve({ outcome: 'unclear' });
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -4,7 +4,7 @@
 import {
   RELAY_ID_RANGE,
   RELAY_RESPONSE_VALIDITY_MS,
-  RELAY_RETRY_INTERVAL_MS,
+  RELAY_REVIEW_INTERVAL_MS,
   RELAY_TIMEOUT_MS,
 } from '../constants.js';
 import type { HttpResponse, Respond } from '../http/message.js';
@@ -173,6 +173,6 @@
   private scheduleReview(): void {
     if (this.isReviewScheduled || this.pendingHeartbeats.size === 0) return;
     this.isReviewScheduled = true;
-    this.dependencies.clock.after(RELAY_RETRY_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
+    this.dependencies.clock.after(RELAY_REVIEW_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
   }
 }
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -3,7 +3,7 @@
 import { Actor, assertNever, type Clock } from '@pumicehinge/runtime';
 import type { Heartbeat } from '../cluster/worker-messages.js';
 import {
-  DELEGATED_LEASES_PER_WRITE,
+  MAX_DELEGATED_LEASES_PER_KEY,
   LEASE_PROXY_ACTIVATION_MS,
   LEASE_PROXY_CHECK_INTERVAL_MS,
   LEASE_PROXY_READ_VALIDITY_MS,
@@ -204,7 +204,7 @@
     const maxNodesPerValue = Math.floor(this.dependencies.valueBytes / MAX_NODE_NAME_BYTES) - 1;
     return this.awaitingDelegation.splice(
       0,
-      Math.max(1, Math.min(DELEGATED_LEASES_PER_WRITE, maxNodesPerValue)),
+      Math.max(1, Math.min(MAX_DELEGATED_LEASES_PER_KEY, maxNodesPerValue)),
     );
   }
 
--- a/src/workers/relay-redirector.ts
+++ b/src/workers/relay-redirector.ts
@@ -1,9 +1,5 @@
 /** Moves heartbeat traffic from the leader to the other controllers of its zone. */
-import {
-  MIN_RELAYS_FOR_REDIRECT,
-  REDIRECT_AFTER_TERM_START_MS,
-  REDIRECT_REPEAT_INTERVAL_MS,
-} from '../constants.js';
+import { MIN_RELAYS_FOR_REDIRECT, REDIRECT_MIN_TERM_MS, REDIRECT_REPEAT_INTERVAL_MS } from '../constants.js';
 
 /**
  * Decides which workers the leader redirects to a relay, so that the leader holds few connections. The leader makes all
@@ -28,7 +24,7 @@
    */
   tryRedirect(node: string, relayCount: number, nowMs: number): boolean {
     // Right after a change of leader the workers' leases are close to expiry, and a redirect costs time.
-    if (nowMs - this.termStartMs < REDIRECT_AFTER_TERM_START_MS) return false;
+    if (nowMs - this.termStartMs < REDIRECT_MIN_TERM_MS) return false;
     if (relayCount < MIN_RELAYS_FOR_REDIRECT) return false;
     this.startPeriodIfDue(nowMs);
     if (this.redirectedInCurrentPeriod.has(node) || this.redirectedInPreviousPeriod.has(node)) return false;
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { MAX_TASKS } from '../src/constants.js';
+import { MAX_TASKS_PER_JOB } from '../src/constants.js';
 import { decodeSubmission, MalformedSubmissionError } from '../src/api/codec.js';
 import { loadSettings, SettingsError } from '../src/settings.js';
 import {
@@ -59,7 +59,7 @@
     { ...VALID_SUBMISSION, rank: 'toString' },
     { ...VALID_SUBMISSION, pieces: 0 },
     { ...VALID_SUBMISSION, pieces: 1.5 },
-    { ...VALID_SUBMISSION, pieces: MAX_TASKS + 1 },
+    { ...VALID_SUBMISSION, pieces: MAX_TASKS_PER_JOB + 1 },
     { ...VALID_SUBMISSION, cpus: -1 },
     { ...VALID_SUBMISSION, cpus: '8' },
     { ...VALID_SUBMISSION, builds: [] },
@@ -94,18 +94,18 @@
 });
 
 test('the finished tasks of the largest job fit into values of the state store', () => {
-  const bitmap = new CompletionBitmap(MAX_TASKS);
-  for (let task = 0; task < MAX_TASKS; task += 1 + (task % 3)) bitmap.add(task);
-  const decodedBitmap = new CompletionBitmap(MAX_TASKS);
-  for (let segment = 0; segment < completionSegmentCount(MAX_TASKS); segment++) {
+  const bitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
+  for (let task = 0; task < MAX_TASKS_PER_JOB; task += 1 + (task % 3)) bitmap.add(task);
+  const decodedBitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
+  for (let segment = 0; segment < completionSegmentCount(MAX_TASKS_PER_JOB); segment++) {
     const text = encodeCompletionSegment(bitmap, segment);
     assert.ok(text.length < 4096);
     decodeCompletionSegment(decodedBitmap, segment, text);
   }
   assert.equal(decodedBitmap.completedCount, bitmap.completedCount);
-  for (const task of [0, 1, 2, 8191, 8192, MAX_TASKS - 1])
+  for (const task of [0, 1, 2, 8191, 8192, MAX_TASKS_PER_JOB - 1])
     assert.equal(decodedBitmap.has(task), bitmap.has(task));
-  assert.equal(bitmap.add(MAX_TASKS), false);
+  assert.equal(bitmap.add(MAX_TASKS_PER_JOB), false);
 });
 
 test('settings: files are read with defaults, and each mistake is reported in one line', () => {
--- a/test/election/cancellation-log.test.ts
+++ b/test/election/cancellation-log.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CANCELLATION_LOG_ENTRIES } from '../../src/constants.js';
+import { MIN_CANCELLATION_LOG_ENTRIES } from '../../src/constants.js';
 import { CancellationLog } from '../../src/election/cancellation-log.js';
 
 test('a cancellation log lists the keys that a reader lacks, or undefined if it may lack dropped ones', () => {
@@ -31,9 +31,9 @@
     [[{ logId: 76, sequence: 6 }, 5], ['k6']],
   ];
   for (const [query, expected] of cases) assert.deepEqual(log.listKeysAfter(...query), expected);
-  for (let revision = 7; revision <= 3 * CANCELLATION_LOG_ENTRIES; revision++)
+  for (let revision = 7; revision <= 3 * MIN_CANCELLATION_LOG_ENTRIES; revision++)
     log.append(`k${revision}`, revision);
-  const lastRevision = 3 * CANCELLATION_LOG_ENTRIES;
+  const lastRevision = 3 * MIN_CANCELLATION_LOG_ENTRIES;
   assert.equal(log.listKeysAfter(undefined, 5), undefined);
   assert.equal(log.listKeysAfter(readOffset, 5), undefined);
   assert.deepEqual(log.listKeysAfter(undefined, lastRevision - 2), listKeys(lastRevision - 1, lastRevision));
--- a/test/election/cancellation-watermark.test.ts
+++ b/test/election/cancellation-watermark.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { leaseExpiryMs } from '../../src/cluster/lease-rules.js';
 import {
-  CLOCK_DRIFT,
-  LEASE_VOTE_MS,
+  MAX_CLOCK_DRIFT_RATIO,
+  LEASE_VOTE_DURATION_MS,
   RELAY_RESPONSE_VALIDITY_MS,
-  START_CANCELLATION_LAG_MS,
+  MAX_START_CANCELLATION_LAG_MS,
 } from '../../src/constants.js';
 import { CancellationWatermark, maxCancellationLagMs } from '../../src/election/cancellation-watermark.js';
 
@@ -21,7 +21,8 @@
     const maxLagMs = maxCancellationLagMs(cancelS, leaseS);
     // Worst case: an answer without the cancellation is sent at the last moment and delayed by a relay. The worker then runs
     // its tasks for a whole lease on a slow clock.
-    const tasksEndedMs = leaseExpiryMs(maxLagMs + RELAY_RESPONSE_VALIDITY_MS, leaseS) * (1 + CLOCK_DRIFT);
+    const tasksEndedMs =
+      leaseExpiryMs(maxLagMs + RELAY_RESPONSE_VALIDITY_MS, leaseS) * (1 + MAX_CLOCK_DRIFT_RATIO);
     assert.ok(tasksEndedMs < cancelS * 1000, `${cancelS} ${leaseS}: ${tasksEndedMs}`);
     // If the settings leave no time, a leader that may not know a cancellation does not answer at all.
     assert.equal(maxLagMs > 0, cancelS > leaseS + 4, `${cancelS} ${leaseS}`);
@@ -39,8 +40,8 @@
     [[1_000], 1_500, true, [true, true]],
     // Recording an earlier time does not move the watermark back.
     [[5_000, 1_000], 5_100, true, [true, true]],
-    [[1_000], 1_000 + LEASE_VOTE_MS, true, [true, false]],
-    [[1_000], 1_000 + START_CANCELLATION_LAG_MS, true, [false, false]],
+    [[1_000], 1_000 + LEASE_VOTE_DURATION_MS, true, [true, false]],
+    [[1_000], 1_000 + MAX_START_CANCELLATION_LAG_MS, true, [false, false]],
     [[1_000], 20_999, true, [false, false]],
     [[1_000], 21_000, false, [false, false]],
   ];
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import {
-  LEASE_VOTE_REQUEST_MS,
+  LEASE_VOTE_REQUEST_INTERVAL_MS,
   LEADER_LEASE_TTL_MS,
-  STATE_PROBE_TIMEOUT_MS,
-  STATE_FAILING_AFTER_MS,
+  STATE_STORE_PROBE_TIMEOUT_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
 } from '../../src/constants.js';
 import { Election } from '../../src/election/election.js';
 import type { LeadershipTerm } from '../../src/election/leadership-term.js';
@@ -121,10 +121,12 @@
   for (const [probe, expectedVotes] of cases) {
     const { clock, sent, receive } = createFixture('c1', probe);
     // Nothing has changed in the state store for a while, so the watch has received no response.
-    await clock.runUntil(STATE_FAILING_AFTER_MS * 2);
+    await clock.runUntil(STATE_UNAVAILABLE_AFTER_MS * 2);
     for (let round = 1; round <= expectedVotes.length; round++) {
       receive({ kind: 'leaseVoteRequest', round, term: 6 });
-      await clock.runUntil(clock.steadyMs() + Math.max(LEASE_VOTE_REQUEST_MS, STATE_PROBE_TIMEOUT_MS + 1));
+      await clock.runUntil(
+        clock.steadyMs() + Math.max(LEASE_VOTE_REQUEST_INTERVAL_MS, STATE_STORE_PROBE_TIMEOUT_MS + 1),
+      );
     }
     const votes = sent.flatMap((message) => (message.kind === 'leaseVote' ? [message.isGranted] : []));
     assert.deepEqual(votes, expectedVotes, probe);
@@ -202,7 +204,7 @@
       fixture.replica.merge(createCancelledJob(`job-${revision}`, revision));
     }
     prepare(fixture);
-    await fixture.clock.runUntil(STATE_FAILING_AFTER_MS * 2);
+    await fixture.clock.runUntil(STATE_UNAVAILABLE_AFTER_MS * 2);
     fixture.storeClient.isFailing = true;
     fixture.receive({ kind: 'leaseVoteRequest', round: 1, term: 6, ...request });
     const vote = fixture.sent.find((m) => m.kind === 'leaseVote');
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { InstanceType } from '../../src/autoscaler/cloud-codec.js';
-import { COMPLETION_SEGMENT_TASKS } from '../../src/constants.js';
+import { TASKS_PER_COMPLETION_SEGMENT } from '../../src/constants.js';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import { SpotInterruptionRate } from '../../src/autoscaler/spot-interruption-rate.js';
 import * as records from '../../src/state/records.js';
@@ -152,8 +152,8 @@
 });
 
 test('production, completed tasks of a large array', () => {
-  const tasks = COMPLETION_SEGMENT_TASKS * 2 + 9;
-  const finished = [0, 9, COMPLETION_SEGMENT_TASKS + 17, COMPLETION_SEGMENT_TASKS * 2 + 8];
+  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
+  const finished = [0, 9, TASKS_PER_COMPLETION_SEGMENT + 17, TASKS_PER_COMPLETION_SEGMENT * 2 + 8];
   const decodedTasks = new CompletionBitmap(tasks);
   const completedTasks = new CompletionBitmap(tasks);
   for (const task of finished) completedTasks.add(task);
--- a/test/golden/stored-jobs.test.ts
+++ b/test/golden/stored-jobs.test.ts
@@ -1,7 +1,7 @@
 /** Golden forms of stored jobs, their completed tasks and their dependency lists. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { COMPLETION_SEGMENT_TASKS } from '../../src/constants.js';
+import { TASKS_PER_COMPLETION_SEGMENT } from '../../src/constants.js';
 import {
   decodeCompletionSegment,
   decodeJob,
@@ -151,14 +151,14 @@
 });
 
 test('completed tasks: each segment of a large array', () => {
-  const tasks = COMPLETION_SEGMENT_TASKS * 2 + 9;
+  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
   const finished = [
     0,
     1,
     9,
-    COMPLETION_SEGMENT_TASKS - 1,
-    COMPLETION_SEGMENT_TASKS + 17,
-    COMPLETION_SEGMENT_TASKS * 2 + 8,
+    TASKS_PER_COMPLETION_SEGMENT - 1,
+    TASKS_PER_COMPLETION_SEGMENT + 17,
+    TASKS_PER_COMPLETION_SEGMENT * 2 + 8,
   ];
   const completedTasks = new CompletionBitmap(tasks);
   for (const task of finished) completedTasks.add(task);
--- a/test/golden/user-answers.test.ts
+++ b/test/golden/user-answers.test.ts
@@ -1,7 +1,11 @@
 /** Golden forms of the responses to users, and of the transactions that their requests cause. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MAX_USERS_WAITING, MEMORY_CHECK_INTERVAL_MS, STATE_FAILING_AFTER_MS } from '../../src/constants.js';
+import {
+  MAX_USER_REQUESTS_IN_PROGRESS,
+  MEMORY_CHECK_INTERVAL_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
+} from '../../src/constants.js';
 import { CATALOG_KEY, jobKey } from '../../src/state/records.js';
 import { STATE_STORE_LIMITS, type ControllerHarness } from './controller-harness.js';
 import { DONE_JOB_VALUE, JOB_UIDS, startFollower } from './follower-fixture.js';
@@ -189,7 +193,7 @@
 test('the state store serves no controller: users are told to retry later, but final phases are still reported', async () => {
   const harness = await startFollower();
   harness.stateStore.refused.add('*');
-  await harness.advance(STATE_FAILING_AFTER_MS * 4);
+  await harness.advance(STATE_UNAVAILABLE_AFTER_MS * 4);
   harness.receiveFromPeer('hearth-1', { kind: 'status', isEligible: false, relayTarget: 'hearth-1' });
   for (const [name, request] of [
     ['submission', createSubmitRequest()],
@@ -204,7 +208,7 @@
 test('the state store serves only another controller: users are told to retry on a new connection', async () => {
   const harness = await startFollower();
   harness.stateStore.refused.add('*');
-  await harness.advance(STATE_FAILING_AFTER_MS * 4);
+  await harness.advance(STATE_UNAVAILABLE_AFTER_MS * 4);
   harness.receiveFromPeer('hearth-1', { kind: 'status', isEligible: true, relayTarget: 'hearth-1' });
   await harness.advance(1);
   for (const [name, request] of [
@@ -231,7 +235,7 @@
 test('too many users are waiting: further users are told to retry later', async () => {
   const harness = await startFollower();
   harness.stateStore.slowMs = () => 60_000;
-  const waitingRequests = Array.from({ length: MAX_USERS_WAITING }, () =>
+  const waitingRequests = Array.from({ length: MAX_USER_REQUESTS_IN_PROGRESS }, () =>
     harness.startRequest(...(createPollRequest(JOB_UIDS.pending) as [string, string])),
   );
   const nextRequest = harness.startRequest('GET', `/submissions/${JOB_UIDS.pending}`);
--- a/test/golden/worker-answers.test.ts
+++ b/test/golden/worker-answers.test.ts
@@ -4,7 +4,7 @@
 import {
   LEASE_PROXY_ACTIVATION_MS,
   LEASE_PROXY_READ_VALIDITY_MS,
-  PEER_HEARTBEAT_MS,
+  PEER_HEARTBEAT_INTERVAL_MS,
 } from '../../src/constants.js';
 import { LEADER_KEY, TERM_KEY } from '../../src/state/records.js';
 import { ControllerHarness } from './controller-harness.js';
@@ -81,7 +81,7 @@
   // The leader keeps sending heartbeats, so that no other controller is elected.
   const sendLeaderHeartbeats = (): void => {
     harness.receiveFromPeer('hearth-1', { kind: 'heartbeat' });
-    harness.clock.after(PEER_HEARTBEAT_MS, sendLeaderHeartbeats);
+    harness.clock.after(PEER_HEARTBEAT_INTERVAL_MS, sendLeaderHeartbeats);
   };
   sendLeaderHeartbeats();
   forms.check('relayed, no answer', await harness.sendRequest('POST', '/v1/report', HEARTBEAT_BODY));
@@ -116,9 +116,13 @@
     await harness.sendRequest('POST', '/v1/report', laterTermHeartbeat),
   );
   harness.receiveFromPeer('hearth-1', { kind: 'heartbeat' });
-  for (let elapsedMs = 0; elapsedMs < LEASE_PROXY_READ_VALIDITY_MS * 3; elapsedMs += PEER_HEARTBEAT_MS) {
+  for (
+    let elapsedMs = 0;
+    elapsedMs < LEASE_PROXY_READ_VALIDITY_MS * 3;
+    elapsedMs += PEER_HEARTBEAT_INTERVAL_MS
+  ) {
     harness.receiveFromPeer('hearth-1', { kind: 'heartbeat' });
-    await harness.advance(PEER_HEARTBEAT_MS);
+    await harness.advance(PEER_HEARTBEAT_INTERVAL_MS);
   }
   const writes = harness.calls.slice(callCountBefore).filter((call) => call.includes('/multi'));
   writes.forEach((call, index) => forms.check(`cut off: write ${index + 1}`, call));
@@ -154,7 +158,7 @@
 
 test('a controller sends its status to its peers', async () => {
   const harness = await startFollower();
-  await harness.advance(PEER_HEARTBEAT_MS);
+  await harness.advance(PEER_HEARTBEAT_INTERVAL_MS);
   forms.check('able, relays for the leader', harness.sentFrames.at(-1)!);
   const harnessWithoutLeader = await startFollower({ [LEADER_KEY]: undefined, [TERM_KEY]: undefined });
   forms.check('able, first word', harnessWithoutLeader.sentFrames[0]!);
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { systemClock, type Clock } from '@pumicehinge/runtime';
-import { LEFT_CONNECTION_MS, MAX_BODY_BYTES } from '../src/constants.js';
+import { ABANDONED_CONNECTION_TIMEOUT_MS, MAX_BODY_BYTES } from '../src/constants.js';
 import { SocketCaller } from '../src/http/client.js';
 import { CallError } from '../src/http/message.js';
 import { HttpParser, HttpSyntaxError } from '../src/http/parser.js';
@@ -179,10 +179,10 @@
   const openSocket = (): Socket => connect({ host, port: Number(port) }).on('error', () => undefined);
   const [abandoned, active] = [openSocket(), openSocket()];
   assert.ok((await receivesResponse(abandoned)) && (await receivesResponse(active)));
-  nowMs = LEFT_CONNECTION_MS - 1_000;
+  nowMs = ABANDONED_CONNECTION_TIMEOUT_MS - 1_000;
   assert.ok(await receivesResponse(active));
   assert.equal(await receivesResponse(openSocket()), false, 'all connections are in use');
-  nowMs = LEFT_CONNECTION_MS + 1_000;
+  nowMs = ABANDONED_CONNECTION_TIMEOUT_MS + 1_000;
   const replacement = openSocket();
   assert.ok(await receivesResponse(replacement), 'the abandoned connection is closed for the new one');
   assert.ok(await receivesResponse(active), 'the active connection stays open');
--- a/test/leader/job-store.test.ts
+++ b/test/leader/job-store.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { COMPLETION_SEGMENT_TASKS } from '../../src/constants.js';
+import { TASKS_PER_COMPLETION_SEGMENT } from '../../src/constants.js';
 import { JobStore } from '../../src/leader/job-store.js';
 import { createCommitInTerm } from '../../src/leader/term-transactions.js';
 import type { Condition, Operation, KeyValue } from '../../src/state/store-client.js';
@@ -12,7 +12,7 @@
 
 /** Creates a job store with one large job array. Its state store is a map. */
 function createJobStoreFixture() {
-  const tasks = COMPLETION_SEGMENT_TASKS * 2;
+  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2;
   const storedValues = new Map<string, KeyValue>();
   const put = (key: string, value: unknown, modRevision: number): void =>
     void storedValues.set(key, { key, value, modRevision });
@@ -70,7 +70,7 @@
 test('a write without a response that is applied late does not keep later writes from being stored', async () => {
   const { store, job, writes, put, key, refreshedKeys, storedValues, conditionsHold } =
     createJobStoreFixture();
-  job.completeTask(COMPLETION_SEGMENT_TASKS + 3);
+  job.completeTask(TASKS_PER_COMPLETION_SEGMENT + 3);
   store.persist(job);
   writes[0]!.complete({ outcome: 'unclear' });
   await Promise.resolve();
@@ -88,12 +88,12 @@
   await Promise.resolve();
   // The watch delivers the job before its segment. The refresh that was requested comes after both.
   store.applyChange({ key, value: storedValues.get(key)!.value, modRevision: 9 });
-  job.completeTask(COMPLETION_SEGMENT_TASKS + 4);
+  job.completeTask(TASKS_PER_COMPLETION_SEGMENT + 4);
   store.persist(job);
   assert.ok(conditionsHold(writes[2]!.conditions), 'the revision of the segment is not known');
   const segment = writes[2]!.operations.find(
     (operation) => operation.key === completionSegmentKey('job-000001', 1),
   );
   assert.ok(segment);
-  assert.ok(job.persistence.isCompletionPersisted(COMPLETION_SEGMENT_TASKS + 3));
+  assert.ok(job.persistence.isCompletionPersisted(TASKS_PER_COMPLETION_SEGMENT + 3));
 });
--- a/test/pipeline/job.test.ts
+++ b/test/pipeline/job.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  COMPLETION_SEGMENT_TASKS,
+  TASKS_PER_COMPLETION_SEGMENT,
   INITIAL_FAILURE_BACKOFF_MS,
   MAX_FAILURE_BACKOFF_MS,
 } from '../../src/constants.js';
@@ -25,7 +25,7 @@
 }
 
 test('a job is done once all tasks are completed, and is stored as done only with its last segment', () => {
-  const tasks = COMPLETION_SEGMENT_TASKS * 2 + 1;
+  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 1;
   const job = createJob({ tasks });
   for (let task = 0; task < tasks; task++) job.completeTask(task);
   assert.equal(job.updateEnding(9_000), 'acceptable');
@@ -35,7 +35,7 @@
   assert.deepEqual([partialWrite.modRevision, partialWrite.segments.map(({ segment }) => segment)], [5, [1]]);
   job.persistence.completeWrite(partialWrite, 6);
   assert.ok(job.needsWrite);
-  assert.ok(job.persistence.isCompletionPersisted(COMPLETION_SEGMENT_TASKS));
+  assert.ok(job.persistence.isCompletionPersisted(TASKS_PER_COMPLETION_SEGMENT));
   assert.ok(!job.persistence.isCompletionPersisted(tasks - 1));
   const lastWrite = job.beginWrite(1);
   assert.deepEqual([lastWrite.record.phase, lastWrite.record.memberStates], ['done', 'S']);
@@ -46,18 +46,18 @@
 });
 
 test('the segments of an aborted write are written again', () => {
-  const job = createJob({ tasks: COMPLETION_SEGMENT_TASKS + 1 });
-  job.completeTask(COMPLETION_SEGMENT_TASKS);
+  const job = createJob({ tasks: TASKS_PER_COMPLETION_SEGMENT + 1 });
+  job.completeTask(TASKS_PER_COMPLETION_SEGMENT);
   const write = job.beginWrite(4);
   assert.ok(job.persistence.writeInProgress);
   job.persistence.abortWrite(write);
   assert.ok(!job.persistence.writeInProgress);
-  assert.ok(!job.persistence.isCompletionPersisted(COMPLETION_SEGMENT_TASKS));
+  assert.ok(!job.persistence.isCompletionPersisted(TASKS_PER_COMPLETION_SEGMENT));
   assert.deepEqual(job.beginWrite(4), write);
 });
 
 test('a record or segment is applied only if it is newer than the known one', () => {
-  const job = createJob({ tasks: COMPLETION_SEGMENT_TASKS * 2 });
+  const job = createJob({ tasks: TASKS_PER_COMPLETION_SEGMENT * 2 });
   const { record } = job.persistence;
   assert.equal(job.persistence.applyRecord({ ...record, completed: 'AQ==' }, 5), false);
   assert.ok(!job.persistence.isCompleted(0));
@@ -65,8 +65,8 @@
   assert.ok(job.persistence.isCompletionPersisted(0));
   job.persistence.applySegment(1, 'AQ==', 8);
   job.persistence.applySegment(1, 'Ag==', 8);
-  assert.ok(job.persistence.isCompletionPersisted(COMPLETION_SEGMENT_TASKS));
-  assert.ok(!job.persistence.isCompleted(COMPLETION_SEGMENT_TASKS + 1));
+  assert.ok(job.persistence.isCompletionPersisted(TASKS_PER_COMPLETION_SEGMENT));
+  assert.ok(!job.persistence.isCompleted(TASKS_PER_COMPLETION_SEGMENT + 1));
 });
 
 test('pending tasks are neither completed nor allocated, and removing a second attempt frees no task', () => {
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import {
-  CROWDED_SHARE,
-  NODE_GROUP_WRITE_SPACING_MS,
-  DELEGATED_LEASES_PER_WRITE,
-  LIST_PAGE,
+  SCARCE_SOCKETS_SHARE,
+  MIN_NODE_GROUP_WRITE_INTERVAL_MS,
+  MAX_DELEGATED_LEASES_PER_KEY,
+  INSTANCE_LIST_PAGE_SIZE,
   MAX_INSTANCES_PER_LAUNCH,
 } from '../src/constants.js';
 import { settingsWarnings } from '../src/settings-warnings.js';
@@ -64,17 +64,20 @@
   for (const machineCount of [500, 1500, 4000, 6000]) {
     const nodeGroupCount = Math.ceil(machineCount / MAX_INSTANCES_PER_LAUNCH);
     assert.ok(nodeGroupCount / WRITES_PER_S < 15, `${machineCount}: writing the records of all node groups`);
-    const leaseWriteCount = Math.ceil(machineCount / DELEGATED_LEASES_PER_WRITE);
+    const leaseWriteCount = Math.ceil(machineCount / MAX_DELEGATED_LEASES_PER_KEY);
     assert.ok(leaseWriteCount / WRITES_PER_S < 5, `${machineCount}: registering the delegated leases`);
-    const pageCount = Math.ceil(machineCount / LIST_PAGE);
+    const pageCount = Math.ceil(machineCount / INSTANCE_LIST_PAGE_SIZE);
     assert.ok(pageCount / CLOUD_REQUESTS_PER_S < 5, `${machineCount}: reading the instance list`);
     const launchCount = Math.ceil(machineCount / MAX_INSTANCES_PER_LAUNCH);
     assert.ok(launchCount / CLOUD_REQUESTS_PER_S < 45, `${machineCount}: renting all machines`);
     // A node group that changes constantly is written at this interval. The writes of all node groups together must leave
     // room for the writes of jobs.
-    assert.ok(NODE_GROUP_WRITE_SPACING_MS >= 200, `${machineCount}: spacing of the writes of a node group`);
     assert.ok(
-      shareSockets(machineCount).forClients * CROWDED_SHARE > machineCount / 2,
+      MIN_NODE_GROUP_WRITE_INTERVAL_MS >= 200,
+      `${machineCount}: spacing of the writes of a node group`,
+    );
+    assert.ok(
+      shareSockets(machineCount).forClients * SCARCE_SOCKETS_SHARE > machineCount / 2,
       `${machineCount}: sockets for clients`,
     );
   }
@@ -193,8 +196,9 @@
       if (method === 'POST') return Promise.resolve({ status: 200, body: '{"hearths":[]}' });
       const sinceMatch = /since=vm-(\d+)/.exec(target);
       const firstIndex = sinceMatch ? Number(sinceMatch[1]) + 1 : 0;
-      const rows = Array.from({ length: Math.min(LIST_PAGE, INSTANCE_COUNT - firstIndex) }, (_, i) =>
-        hostRow(firstIndex + i),
+      const rows = Array.from(
+        { length: Math.min(INSTANCE_LIST_PAGE_SIZE, INSTANCE_COUNT - firstIndex) },
+        (_, i) => hostRow(firstIndex + i),
       );
       return Promise.resolve({
         status: 200,
--- a/test/workers/heartbeat-relay.test.ts
+++ b/test/workers/heartbeat-relay.test.ts
@@ -4,7 +4,7 @@
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 import {
   RELAY_RESPONSE_VALIDITY_MS,
-  RELAY_RETRY_INTERVAL_MS,
+  RELAY_REVIEW_INTERVAL_MS,
   RELAY_TIMEOUT_MS,
 } from '../../src/constants.js';
 import type { HttpResponse } from '../../src/http/message.js';
@@ -151,7 +151,7 @@
   sendHeartbeat();
   assert.equal(forwarded.length, 1);
   cluster.isChannelFull = false;
-  await clock.runUntil(RELAY_RETRY_INTERVAL_MS + 1);
+  await clock.runUntil(RELAY_REVIEW_INTERVAL_MS + 1);
   assert.equal(forwarded.length, 2);
   relayResponse(forwarded[1]!.id, 'a');
   assert.equal(responses.at(-1)!.status, 200);
--- a/test/workers/relay-redirector.test.ts
+++ b/test/workers/relay-redirector.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import {
   MIN_RELAYS_FOR_REDIRECT,
-  REDIRECT_AFTER_TERM_START_MS,
+  REDIRECT_MIN_TERM_MS,
   REDIRECT_REPEAT_INTERVAL_MS,
 } from '../../src/constants.js';
 import { RelayRedirector } from '../../src/workers/relay-redirector.js';
@@ -11,7 +11,7 @@
 // other controllers are idle.
 test('a leader redirects workers to relays once its term has settled, and serves workers that come back', () => {
   const redirector = new RelayRedirector(1000);
-  const settledMs = 1000 + REDIRECT_AFTER_TERM_START_MS;
+  const settledMs = 1000 + REDIRECT_MIN_TERM_MS;
   const steps: [name: string, node: string, relayCount: number, atMs: number, isRedirected: boolean][] = [
     ['right after a change of leader', 'm1', 3, settledMs - 1, false],
     ['too few relays', 'm1', MIN_RELAYS_FOR_REDIRECT - 1, settledMs, false],
