--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -32,7 +32,7 @@
 /** Dependencies of `JobReader`. */
 export interface JobReaderDependencies {
   readonly replica: StateReplica;
-  readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
+  readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Number of running tasks of a job, for display. */
   readonly runningTaskCount: (uid: string) => number;
 }
@@ -81,11 +81,11 @@
 
   /** Number of tasks that have completed, for display. */
   countCompletedTasks(uid: string, record: JobRecord): number {
-    if (record.phase === 'done') return record.tasks;
-    let count = countCompletedInSegment(record.tasks, record.completed);
-    for (let segment = 1; segment < completionSegmentCount(record.tasks); segment++) {
+    if (record.phase === 'done') return record.taskCount;
+    let count = countCompletedInSegment(record.taskCount, record.firstCompletionSegment);
+    for (let segment = 1; segment < completionSegmentCount(record.taskCount); segment++) {
       const encoded = this.dependencies.replica.get(completionSegmentKey(uid, segment))?.value;
-      if (typeof encoded === 'string') count += countCompletedInSegment(record.tasks, encoded);
+      if (typeof encoded === 'string') count += countCompletedInSegment(record.taskCount, encoded);
     }
     return count;
   }
@@ -97,7 +97,7 @@
   private decode(uid: string, { value }: KeyValue): JobRecord | undefined {
     const record = decodeJob(value);
     if (record?.phase !== 'open') return record;
-    const isCancelled = this.dependencies.jobDependencies.statusOf(uid) === 'cancelled';
+    const isCancelled = this.dependencies.jobDependencies.getStatus(uid) === 'cancelled';
     return isCancelled ? { ...record, phase: 'cancelled' } : record;
   }
 }
--- a/src/api/submission-handler.ts
+++ b/src/api/submission-handler.ts
@@ -149,11 +149,11 @@
 function createJobRecord(spec: JobSpec, acceptedMs: number): JobRecord {
   return {
     phase: 'open',
-    tasks: spec.tasks,
+    taskCount: spec.tasks,
     spec,
     acceptedMs,
     memberStates: spec.spot ? 'NN' : 'N',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
 }
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -30,7 +30,7 @@
   readonly teams: readonly TeamQuota[];
   readonly replica: StateReplica;
   readonly batcher: TransactionBatcher;
-  readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
+  readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
   readonly limits: { readonly valueBytes: number; readonly txnOps: number };
   readonly random: () => number;
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -5,7 +5,7 @@
 import type { MutableResources, Resources } from '../cluster/resources.js';
 import { MAX_INSTANCES_PER_LAUNCH } from '../constants.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
-import { timeToDeadlineS } from '../scheduler/time-estimates.js';
+import { getTimeToDeadlineS } from '../scheduler/time-estimates.js';
 import { toCapacityDemand, type CapacityDemand } from './capacity-demand.js';
 import type { InstanceType, LaunchRequest } from './cloud-codec.js';
 import { planHeadroom, type HeadroomDemand, type RecentJob, type StartObjective } from './headroom.js';
@@ -19,7 +19,7 @@
 export interface AutoscalerDependencies {
   readonly clusterState: ClusterState;
   readonly nodeHealth: NodeHealth;
-  readonly scheduler: Pick<Scheduler, 'remainingQuotaOf'>;
+  readonly scheduler: Pick<Scheduler, 'countTasksWithinQuota'>;
   /** Number of the leader's term. */
   readonly term: number;
   /** Instance types by name. */
@@ -125,7 +125,7 @@
     const plannedResourcesByTeam = new Map<string, MutableResources>();
     for (const job of waitingJobs) {
       const { spec } = job;
-      const secondsToDeadline = timeToDeadlineS(job, this.dependencies.wallMs());
+      const secondsToDeadline = getTimeToDeadlineS(job, this.dependencies.wallMs());
       this.spotPolicy.updateSpotPreference(job, nowMs);
       // Resources planned for one job of a team count against the team's quota for the jobs that follow.
       const plannedResources = plannedResourcesByTeam.get(spec.team) ?? {
@@ -135,8 +135,8 @@
       };
       plannedResourcesByTeam.set(spec.team, plannedResources);
       const taskCount = Math.min(
-        job.pendingTasks,
-        this.dependencies.scheduler.remainingQuotaOf(job, plannedResources),
+        job.pendingTaskCount,
+        this.dependencies.scheduler.countTasksWithinQuota(job, plannedResources),
       );
       if (taskCount <= 0) continue;
       plannedResources.cpus += taskCount * spec.cpus;
@@ -170,7 +170,7 @@
       ({ jobClass }) => jobClass === job.spec.jobClass,
     );
     if (!objective) return Infinity;
-    const remainingS = objective.withinS - (this.dependencies.wallMs() - job.queuedMs) / 1000;
+    const remainingS = objective.withinS - (this.dependencies.wallMs() - job.queuedSinceMs) / 1000;
     return remainingS > 0 ? remainingS : Infinity;
   }
 
--- a/src/autoscaler/capacity-pool.ts
+++ b/src/autoscaler/capacity-pool.ts
@@ -5,9 +5,9 @@
 import {
   allowsZone,
   fits,
-  remainingZoneTasks,
+  countRemainingZoneTasks,
   satisfiesConstraints,
-  tasksThatFit,
+  countFittingTasks,
 } from '../scheduler/placement-constraints.js';
 import type { CapacityDemand } from './capacity-demand.js';
 import type { InstanceOffering } from './cloud-codec.js';
@@ -141,8 +141,8 @@
     const { free, zone } = capacity;
     const taskCount = Math.min(
       this.remainingTasks,
-      tasksThatFit(spec, free),
-      remainingZoneTasks(spec, this.allocationsPerZone, zone),
+      countFittingTasks(spec, free),
+      countRemainingZoneTasks(spec, this.allocationsPerZone, zone),
     );
     if (taskCount <= 0) return;
     this.remainingTasks -= taskCount;
--- a/src/autoscaler/incoming-capacity.ts
+++ b/src/autoscaler/incoming-capacity.ts
@@ -3,7 +3,7 @@
 import type { NodeHealth } from '../cluster/node-health.js';
 import { addResources, type Resources } from '../cluster/resources.js';
 import { NODE_START_OVERHEAD_S } from '../constants.js';
-import { remainingRunS } from '../scheduler/time-estimates.js';
+import { estimateRemainingRunS } from '../scheduler/time-estimates.js';
 import type { InstanceOffering, InstanceType, LaunchRequest } from './cloud-codec.js';
 
 /** Capacity that is free now or later. It belongs to a node, a launching instance or a running task. */
@@ -81,7 +81,7 @@
       incoming.push({ type, zone, spot, free: capacity, readyInS, isOccupied: false });
     } else if (nodeHealth.isSchedulable(node, nowMs)) {
       for (const attempt of node.attempts.values()) {
-        const readyInS = remainingRunS(attempt, nowMs);
+        const readyInS = estimateRemainingRunS(attempt, nowMs);
         if (readyInS < Infinity)
           incoming.push({ type, zone, spot, free: attempt.resources, readyInS, isOccupied: true });
       }
--- a/src/autoscaler/scale-out-planner.ts
+++ b/src/autoscaler/scale-out-planner.ts
@@ -1,7 +1,7 @@
 /** Plans which instances to launch so that every waiting task gets capacity. */
 import type { Node } from '../cluster/cluster-state.js';
 import { AVOIDED_SPOT_PRICE_RATIO, NODE_START_OVERHEAD_S } from '../constants.js';
-import { tasksThatFit } from '../scheduler/placement-constraints.js';
+import { countFittingTasks } from '../scheduler/placement-constraints.js';
 import type { CapacityDemand } from './capacity-demand.js';
 import { CapacityPool, Reservation } from './capacity-pool.js';
 import { offeringKey, type InstanceOffering, type InstanceType } from './cloud-codec.js';
@@ -111,7 +111,7 @@
     let best: OfferedType | undefined;
     let bestScore = Infinity;
     for (const type of this.availability.instanceTypes) {
-      const tasksPerInstance = tasksThatFit(reservation.demand.spec, type);
+      const tasksPerInstance = countFittingTasks(reservation.demand.spec, type);
       if (tasksPerInstance === 0) continue;
       const taskCount = Math.min(tasksPerInstance, reservation.remainingTasks);
       for (const offering of this.findUsableOfferings(type, reservation)) {
--- a/src/autoscaler/spot-policy.ts
+++ b/src/autoscaler/spot-policy.ts
@@ -1,8 +1,8 @@
 /** Decides whether a waiting job uses spot instances. */
 import type { Job } from '../cluster/cluster-state.js';
 import { MAX_SPOT_INTERRUPTIONS_PER_HOUR } from '../constants.js';
-import { tasksThatFit } from '../scheduler/placement-constraints.js';
-import { timeToDeadlineS } from '../scheduler/time-estimates.js';
+import { countFittingTasks } from '../scheduler/placement-constraints.js';
+import { getTimeToDeadlineS } from '../scheduler/time-estimates.js';
 import type { InstanceType } from './cloud-codec.js';
 import type { OfferingBackoff } from './offering-backoff.js';
 import type { SpotInterruptionRate } from './spot-interruption-rate.js';
@@ -37,7 +37,7 @@
    */
   private isInterruptionCostly(job: Job): boolean {
     return (
-      timeToDeadlineS(job, this.dependencies.wallMs()) < Infinity &&
+      getTimeToDeadlineS(job, this.dependencies.wallMs()) < Infinity &&
       this.dependencies.spotInterruptionRate.perHour() > MAX_SPOT_INTERRUPTIONS_PER_HOUR
     );
   }
@@ -48,7 +48,7 @@
    */
   private isSpotAvailable(job: Job, nowMs: number): boolean {
     for (const type of this.dependencies.instanceTypes().values()) {
-      if (tasksThatFit(job.spec, type) === 0) continue;
+      if (countFittingTasks(job.spec, type) === 0) continue;
       for (const zone of type.zones)
         if (!this.dependencies.offeringBackoff.isUnavailable({ type: type.name, zone, spot: true }, nowMs))
           return true;
--- a/src/cluster/attempt.ts
+++ b/src/cluster/attempt.ts
@@ -26,7 +26,7 @@
   readonly job: Job | undefined;
   readonly jobUid: string;
   /** Index of the task within its job, starting at 0. */
-  readonly index: number;
+  readonly taskIndex: number;
   /**
    * The number of the attempt, which is unique among all attempts of all terms. Its high bits are the number of the
    * term.
@@ -80,7 +80,7 @@
 class TrackedAttempt implements Attempt {
   readonly job: Job | undefined;
   readonly jobUid: string;
-  readonly index: number;
+  readonly taskIndex: number;
   readonly number: WireInt;
   readonly node: Node;
   readonly resources: Resources;
@@ -95,7 +95,7 @@
   constructor(identity: AttemptIdentity, state: AttemptState, nowMs: number) {
     this.job = identity.job;
     this.jobUid = identity.jobUid;
-    this.index = identity.index;
+    this.taskIndex = identity.taskIndex;
     this.number = identity.number;
     this.node = identity.node;
     this.resources = getRequestedResources(identity.job);
@@ -142,13 +142,13 @@
 }
 
 /** Returns the key of an attempt among the attempts of its node. */
-export function attemptKey(jobUid: string, index: number, number: WireInt): string {
-  return `${jobUid}/${index}#${number}`;
+export function attemptKey(jobUid: string, taskIndex: number, number: WireInt): string {
+  return `${jobUid}/${taskIndex}#${number}`;
 }
 
 /** Returns the name of the attempt's task, as it appears in commands, in logs and to users. */
-export function taskName({ jobUid, index }: Pick<Attempt, 'jobUid' | 'index'>): string {
-  return `${jobUid}/${index}`;
+export function taskName({ jobUid, taskIndex }: Pick<Attempt, 'jobUid' | 'taskIndex'>): string {
+  return `${jobUid}/${taskIndex}`;
 }
 
 function getRequestedResources(job: Job | undefined): Resources {
--- a/src/cluster/cluster-state.ts
+++ b/src/cluster/cluster-state.ts
@@ -31,7 +31,7 @@
 export interface PlannedStart {
   readonly job: Job;
   /** Index of the task within its job, starting at 0. */
-  readonly index: number;
+  readonly taskIndex: number;
   /** The number of the attempt, which is unique among all attempts. */
   readonly number: WireInt;
   readonly node: Node;
@@ -116,8 +116,8 @@
   }
 
   /** Allocates resources for a start whose command still has to be sent to the worker. */
-  planAttempt({ job, index, number, node }: PlannedStart, nowMs: number): Attempt {
-    const attempt = this.allocate({ job, jobUid: job.uid, index, number, node }, 'planned', nowMs);
+  planAttempt({ job, taskIndex, number, node }: PlannedStart, nowMs: number): Attempt {
+    const attempt = this.allocate({ job, jobUid: job.uid, taskIndex, number, node }, 'planned', nowMs);
     this.commandAwaitingNodes.add(node);
     return attempt;
   }
@@ -185,7 +185,7 @@
   }
 
   private allocate(identity: AttemptIdentity, state: AttemptState, nowMs: number): Attempt {
-    const { job, node, index } = identity;
+    const { job, node, taskIndex } = identity;
     const attempt = createAttempt(identity, state, nowMs);
     node.addAttempt(attempt);
     this.indexFreeCapacity(node);
@@ -193,7 +193,7 @@
       this.addTeamUsage(job.spec.team, attempt.resources, 1);
       // A second attempt of an allocated task takes resources as well, but the first attempt remains the allocation
       // of the task.
-      if (!job.allocations.has(index)) job.addAllocation(attempt, node.zone);
+      if (!job.attemptByTask.has(taskIndex)) job.addAllocation(attempt, node.zone);
     }
     return attempt;
   }
--- a/src/cluster/heartbeat-reconciler.ts
+++ b/src/cluster/heartbeat-reconciler.ts
@@ -100,11 +100,13 @@
     const { clusterState, findJob } = this.dependencies;
     const job = findJob(task.job);
     const attempt = clusterState.addListedAttempt(
-      { job, jobUid: task.job, index: task.index, number: task.attempt, node },
+      { job, jobUid: task.job, taskIndex: task.taskIndex, number: task.attempt, node },
       nowMs,
     );
     const isWanted =
-      job?.isOpen && job.allocations.get(task.index) === attempt && !job.persistence.isCompleted(task.index);
+      job?.isOpen &&
+      job.attemptByTask.get(task.taskIndex) === attempt &&
+      !job.persistence.isCompleted(task.taskIndex);
     if (!isWanted) {
       attempt.requestStop(0);
       clusterState.markAwaitingCommands(node);
@@ -162,5 +164,5 @@
 }
 
 function getAttemptKey(task: TaskStatus): string {
-  return attemptKey(task.job, task.index, task.attempt);
+  return attemptKey(task.job, task.taskIndex, task.attempt);
 }
--- a/src/cluster/node-health.ts
+++ b/src/cluster/node-health.ts
@@ -97,7 +97,8 @@
     for (const uid of node.failedJobs) {
       const job = this.dependencies.findJob(uid);
       // A job that failed on several nodes is probably faulty itself.
-      if (job && job.progress.failedNodes.size <= QUARANTINE_AFTER_FAILED_JOBS) healthyJobsFailedHere++;
+      if (job && job.progress.nodesWithFailedTask.size <= QUARANTINE_AFTER_FAILED_JOBS)
+        healthyJobsFailedHere++;
     }
     return healthyJobsFailedHere >= QUARANTINE_AFTER_FAILED_JOBS;
   }
--- a/src/cluster/node.ts
+++ b/src/cluster/node.ts
@@ -281,6 +281,6 @@
   return new TrackedNode(description, ordinal, nowMs);
 }
 
-function getAttemptKey({ jobUid, index, number }: Attempt): string {
-  return attemptKey(jobUid, index, number);
+function getAttemptKey({ jobUid, taskIndex, number }: Attempt): string {
+  return attemptKey(jobUid, taskIndex, number);
 }
--- a/src/cluster/pending-commands.ts
+++ b/src/cluster/pending-commands.ts
@@ -52,10 +52,10 @@
 }
 
 /** Whether the worker may forget an exited attempt. */
-function mayBeAcknowledged({ directStart, exitCause, index, job }: Attempt): boolean {
+function mayBeAcknowledged({ directStart, exitCause, taskIndex, job }: Attempt): boolean {
   // A start command that is still in transit has to find the attempt on the worker, or it would be executed again.
   if (directStart !== 'none') return false;
   if (exitCause !== 'completed' || !job?.isOpen) return true;
   // Until the completion is stored, a new leader can learn of it only from the worker's list.
-  return job.persistence.isCompletionPersisted(index);
+  return job.persistence.isCompletionPersisted(taskIndex);
 }
--- a/src/cluster/worker-messages.ts
+++ b/src/cluster/worker-messages.ts
@@ -29,7 +29,7 @@
   /** Uid of the job. */
   readonly job: string;
   /** Index of the task within its job, starting at 0. */
-  readonly index: number;
+  readonly taskIndex: number;
   readonly attempt: WireInt;
   readonly state: TaskState;
   /** Why the task exited. Undefined unless the task has exited and its worker reports the cause. */
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -128,7 +128,7 @@
     const graph = new DependencyGraph((uid) => decodeJobDependencies(getValue(jobKey(uid)), getValue));
     this.replica.onChange(({ key, value }) => {
       const dependencies = isJobKey(key) ? decodeJobDependencies(value, getValue) : undefined;
-      if (dependencies) graph.update(jobUidOfKey(key), dependencies);
+      if (dependencies) graph.updateJob(jobUidOfKey(key), dependencies);
     });
     return graph;
   }
--- a/src/leader/fleet-reconciler.ts
+++ b/src/leader/fleet-reconciler.ts
@@ -21,7 +21,7 @@
   MIN_BILLED_MS,
 } from '../constants.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import { remainingRunS } from '../scheduler/time-estimates.js';
+import { estimateRemainingRunS } from '../scheduler/time-estimates.js';
 import type { Settings } from '../settings.js';
 import type { CommandDispatcher } from '../workers/command-dispatcher.js';
 import type { TermReconciliation } from './term-reconciliation.js';
@@ -190,7 +190,7 @@
     if (checkpointIntervalS > 0)
       return remainingS < checkpointS + this.dependencies.settings.reportS + CHECKPOINT_MARGIN_S;
     // The work of this task would be lost anyway, so it restarts elsewhere as early as possible.
-    return checkpointIntervalS === 0 && remainingRunS(attempt, nowMs) > remainingS;
+    return checkpointIntervalS === 0 && estimateRemainingRunS(attempt, nowMs) > remainingS;
   }
 
   /** Terminates nodes that are idle, unreachable or never finished booting. */
--- a/src/leader/job-store.ts
+++ b/src/leader/job-store.ts
@@ -69,7 +69,7 @@
     for (const job of this.jobs.values()) {
       if (!job.isOpen) continue;
       let runningCount = 0;
-      for (const attempt of job.allocations.values())
+      for (const attempt of job.attemptByTask.values())
         if (attempt.state === 'running' || attempt.state === 'saving') runningCount++;
       if (runningCount > 0) countsByJob[job.uid] = runningCount;
     }
@@ -100,8 +100,8 @@
       record,
       spec,
       modRevision,
-      objectives,
-      runTimes: runTimeEstimator,
+      deadlineObjectives: objectives,
+      runTimeEstimator,
       dependencies: dependencyUids,
     });
     this.mergeCompletionSegments(job);
@@ -147,9 +147,9 @@
   persist(job: Job): void {
     const { persistence } = job;
     if (
-      persistence.writeInProgress ||
+      persistence.isWriteInProgress ||
       !job.needsWrite ||
-      this.dependencies.wallMs() < persistence.writeNotBeforeMs
+      this.dependencies.wallMs() < persistence.earliestWriteMs
     )
       return;
     // Only a few segments are written at a time, so that a write stays within the limits of the state store.
@@ -158,10 +158,10 @@
     );
     const conditions: Condition[] = [{ key: jobKey(job.uid), modRevision: write.modRevision }];
     const operations: Operation[] = [{ key: jobKey(job.uid), value: encodeJob(write.record) }];
-    for (const { segment, text, modRevision } of write.segments) {
-      const key = completionSegmentKey(job.uid, segment);
+    for (const { segmentIndex, encodedBitmap, modRevision } of write.segments) {
+      const key = completionSegmentKey(job.uid, segmentIndex);
       conditions.push({ key, modRevision });
-      operations.push({ key, value: text });
+      operations.push({ key, value: encodedBitmap });
     }
     void this.dependencies
       .commit(conditions, operations)
@@ -178,7 +178,7 @@
     job.persistence.abortWrite(write);
     // A value that the state store rejects as malformed would be rejected again, so it is not resent at once.
     if (result.outcome === 'refused' && result.malformed) {
-      job.persistence.postponeWrites(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_DELAY_MS);
+      job.persistence.postponeWritesUntil(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_DELAY_MS);
       this.dependencies.log.error({ job: job.uid }, 'job write rejected as malformed');
     }
     // Another controller may have written a cancellation, or the outcome may be unknown. The stored value decides.
--- a/src/leader/leader-components.ts
+++ b/src/leader/leader-components.ts
@@ -8,7 +8,7 @@
 import { SpotInterruptionRate } from '../autoscaler/spot-interruption-rate.js';
 import { HeartbeatReconciler } from '../cluster/heartbeat-reconciler.js';
 import { DelegatedProvisioner } from '../duties/delegated-provisioner.js';
-import { AttemptNumbers } from '../scheduler/attempt-numbers.js';
+import { AttemptNumberGenerator } from '../scheduler/attempt-numbers.js';
 import { Scheduler } from '../scheduler/scheduler.js';
 import type { TeamQuota } from '../scheduler/team-quota.js';
 import { SPOT_INTERRUPTIONS_KEY } from '../state/records.js';
@@ -123,7 +123,7 @@
       nodeHealth,
       jobs: jobStore.jobs,
       quotas: this.quotas,
-      attemptNumbers: new AttemptNumbers(term.fencingToken),
+      attemptNumbers: new AttemptNumberGenerator(term.fencingToken),
       instanceTypes: () => instanceCatalog.types,
       isReconciled: () => reconciliation.isComplete,
       wallMs: () => clock.wallMs(),
--- a/src/leader/leader-dependencies.ts
+++ b/src/leader/leader-dependencies.ts
@@ -16,7 +16,7 @@
   readonly settings: Settings;
   readonly term: LeadershipTerm;
   readonly cancellationWatermark: CancellationWatermark;
-  readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
+  readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Whether the state store responded to the last call. */
   readonly isStateStoreAvailable: () => boolean;
   readonly replica: StateReplica;
--- a/src/leader/scheduling-cycle.ts
+++ b/src/leader/scheduling-cycle.ts
@@ -8,7 +8,7 @@
 import type { NodeRecords } from '../cluster/node-records.js';
 import { FLEET_REVIEW_INTERVAL_RATIO, SCALE_OUT_MIN_INTERVAL_MS, STARVATION_WAIT_MS } from '../constants.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
-import { compareByRelease, findJobsWithinGuarantee } from '../scheduler/queue-order.js';
+import { createQueueComparator, findJobsWithinGuarantee } from '../scheduler/queue-order.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
 import type { TeamQuota } from '../scheduler/team-quota.js';
 import type { CommandDispatcher } from '../workers/command-dispatcher.js';
@@ -19,7 +19,7 @@
 /** Dependencies of `SchedulingCycle`. */
 export interface SchedulingCycleDependencies {
   readonly jobStore: JobStore;
-  readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
+  readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   readonly reconciliation: Pick<TermReconciliation, 'isComplete'>;
   readonly nodeRecords: Pick<NodeRecords, 'flush'>;
   readonly commandDispatcher: Pick<CommandDispatcher, 'stop'>;
@@ -61,9 +61,9 @@
 
   private sortBySchedulingOrder(openJobs: Job[], jobsWithinGuarantee: ReadonlySet<Job>, nowMs: number): void {
     const wallMs = this.dependencies.clock.wallMs();
-    const deadlinesMs = new Map(openJobs.map((job) => [job, job.schedulingDeadlineMs(wallMs)]));
+    const deadlinesMs = new Map(openJobs.map((job) => [job, job.getSchedulingDeadlineMs(wallMs)]));
     openJobs.sort(
-      compareByRelease(
+      createQueueComparator(
         jobsWithinGuarantee,
         (job) => nowMs - job.queueTimes.starvingSinceMs > STARVATION_WAIT_MS,
         (job) => deadlinesMs.get(job) ?? Infinity,
@@ -89,9 +89,9 @@
   /** Whether the job waits for jobs that it depends on. A waiting job takes no part in the cycle. */
   private isBlockedByDependencies(job: Job): boolean {
     if (!job.hasDependencies || !job.isOpen) return false;
-    const status = this.dependencies.jobDependencies.statusOf(job.uid);
+    const status = this.dependencies.jobDependencies.getStatus(job.uid);
     if (status === 'cancelled') this.dependencies.jobStore.cancel(job);
-    if (status === 'ready' && Number.isNaN(job.queueTimes.dependenciesMetMs)) {
+    if (status === 'ready' && Number.isNaN(job.queueTimes.dependenciesDoneSinceMs)) {
       job.queueTimes.recordDependenciesMet(this.dependencies.jobStore.findDependenciesFinishedMs(job));
       this.dependencies.log.debug({ job: job.uid }, 'job dependencies completed');
     }
@@ -105,11 +105,11 @@
   private updateEnding(job: Job): void {
     if (!job.isOpen) return;
     const { clock, commandDispatcher, log } = this.dependencies;
-    const ending = job.updateEnding(clock.wallMs());
+    const ending = job.endPipelineIfDue(clock.wallMs());
     if (ending === 'expired')
       log.info({ job: job.uid }, 'pipeline expired; job continues with the successor pipeline');
     if (ending !== 'acceptable') return;
-    for (const attempt of job.allocations.values()) commandDispatcher.stop(attempt, 0);
+    for (const attempt of job.attemptByTask.values()) commandDispatcher.stop(attempt, 0);
   }
 
   /** Persists the end of a job, and drops the job once it has no attempts on nodes and nothing left to write. */
@@ -117,7 +117,7 @@
     const { jobStore, reconciliation } = this.dependencies;
     // Until all nodes are reconciled, tasks of a cancelled job may run that the leader does not know yet.
     if (reconciliation.isComplete || job.phase === 'done') jobStore.persist(job);
-    const isSettled = job.allocations.size === 0 && !job.persistence.writeInProgress && !job.needsWrite;
+    const isSettled = job.attemptByTask.size === 0 && !job.persistence.isWriteInProgress && !job.needsWrite;
     if (isSettled) jobStore.jobs.delete(job.uid);
   }
 }
--- a/src/leader/task-lifecycle.ts
+++ b/src/leader/task-lifecycle.ts
@@ -11,7 +11,7 @@
 export interface TaskLifecycleDependencies {
   readonly commandDispatcher: Pick<CommandDispatcher, 'forget'>;
   readonly reconciliation: Pick<TermReconciliation, 'isComplete'>;
-  readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
+  readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   readonly cancellationWatermark: Pick<CancellationWatermark, 'mayStart'>;
   /** Whether the state store responded to the last call. */
   readonly isStateStoreAvailable: () => boolean;
@@ -33,7 +33,7 @@
   readonly nowMs: number;
 }
 
-const formatTaskName = ({ jobUid, index }: Attempt): string => `${jobUid}/${index}`;
+const formatTaskName = ({ jobUid, taskIndex }: Attempt): string => `${jobUid}/${taskIndex}`;
 
 /** Decides whether an attempt may be started, and applies its end to its job and its node. */
 export class TaskLifecycle {
@@ -42,9 +42,9 @@
   /** Whether the attempt may be started. This has to be checked right before each start command is sent. */
   mayStart({ job, node }: Attempt): boolean {
     const { jobDependencies, cancellationWatermark, reconciliation } = this.dependencies;
-    if (!job || !job.isOpen || !job.isExecutionPersisted) return false;
+    if (!job || !job.isOpen || !job.isStartPersisted) return false;
     if (!node.persisted || !node.reconciled || node.terminating) return false;
-    if (job.hasDependencies && jobDependencies.statusOf(job.uid) !== 'ready') return false;
+    if (job.hasDependencies && jobDependencies.getStatus(job.uid) !== 'ready') return false;
     const source = this.dependencies.isStateStoreAvailable() ? 'stateStore' : 'peers';
     if (!cancellationWatermark.mayStart(this.dependencies.nowMs(), source)) return false;
     // The tasks of a job that an earlier term started may still run on nodes that are not reconciled.
@@ -78,7 +78,7 @@
   private applyExit(job: Job, attempt: Attempt, { cause, runTimeS, nowMs }: TaskExit): void {
     const { node } = attempt;
     if (cause === 'completed' && !job.isService) {
-      job.completeTask(attempt.index);
+      job.completeTask(attempt.taskIndex);
       // The start time of an attempt of an earlier term is unknown, and therefore its run time as well.
       if (attempt.startedMs > this.dependencies.termStartMs) job.progress.recordRunTime(runTimeS);
     } else if (cause === 'failed') {
--- a/src/pipeline/dependency-graph.ts
+++ b/src/pipeline/dependency-graph.ts
@@ -88,7 +88,7 @@
   }
 
   /** Updates the graph with the stored value of a job that is new or changed. */
-  update(uid: string, stored: StoredJobDependencies): void {
+  updateJob(uid: string, stored: StoredJobDependencies): void {
     const isOpen = stored.phase === 'open';
     let member = this.members.get(uid);
     if (!member && (!isOpen || stored.dependencies?.length === 0)) return;
@@ -102,7 +102,7 @@
   }
 
   /** Returns the status of a job. A job that is not in the graph is ready. */
-  statusOf(uid: string): DependencyStatus {
+  getStatus(uid: string): DependencyStatus {
     const member = this.members.get(uid);
     if (!member) return 'ready';
     if (member.state === 'F') return 'cancelled';
--- a/src/pipeline/job-allocations.ts
+++ b/src/pipeline/job-allocations.ts
@@ -7,7 +7,7 @@
 /** The part of an attempt that a job reads. The cluster state owns the rest of the attempt. */
 export interface TaskAttempt {
   /** Number of the task within its job, starting at 0. */
-  readonly index: number;
+  readonly taskIndex: number;
 }
 
 /** Tells which tasks of a job are completed. */
@@ -43,15 +43,15 @@
 
   /** Allocates the attempt's task to this attempt. */
   add(attempt: Attempt, zone: string): void {
-    this.attemptByTask.set(attempt.index, attempt);
+    this.attemptByTask.set(attempt.taskIndex, attempt);
     this.countPerZone.set(zone, (this.countPerZone.get(zone) ?? 0) + 1);
   }
 
   /** Makes the attempt's task pending again, unless the task is allocated to another attempt. */
   remove(attempt: Attempt, zone: string): void {
-    if (this.attemptByTask.get(attempt.index) !== attempt) return;
-    this.attemptByTask.delete(attempt.index);
-    this.firstCandidateTask = Math.min(this.firstCandidateTask, attempt.index);
+    if (this.attemptByTask.get(attempt.taskIndex) !== attempt) return;
+    this.attemptByTask.delete(attempt.taskIndex);
+    this.firstCandidateTask = Math.min(this.firstCandidateTask, attempt.taskIndex);
     const remaining = (this.countPerZone.get(zone) ?? 1) - 1;
     if (remaining > 0) this.countPerZone.set(zone, remaining);
     else this.countPerZone.delete(zone);
--- a/src/pipeline/job-options.ts
+++ b/src/pipeline/job-options.ts
@@ -15,9 +15,9 @@
   /** Revision of the job's key in the state store. */
   readonly modRevision: WireInt;
   /** The deadline objectives of all job classes. */
-  readonly objectives: readonly DeadlineObjective[];
+  readonly deadlineObjectives: readonly DeadlineObjective[];
   /** The run time estimator that all jobs of a term share. By default the job gets one of its own. */
-  readonly runTimes?: RunTimeEstimator;
+  readonly runTimeEstimator?: RunTimeEstimator;
   /** Uids of the jobs that must be done before any task of this job starts. By default there are none. */
   readonly dependencies?: readonly string[];
 }
--- a/src/pipeline/job-persistence.ts
+++ b/src/pipeline/job-persistence.ts
@@ -10,9 +10,9 @@
 /** The write of one segment of the bitmap of completed tasks. */
 export interface SegmentWrite {
   /** Number of the segment, starting at 1. Segment 0 is part of the job's record. */
-  readonly segment: number;
+  readonly segmentIndex: number;
   /** The bitmap of the segment in base64. */
-  readonly text: string;
+  readonly encodedBitmap: string;
   /** The write is applied only if the key still has this revision. 0 means that the key must not exist. */
   readonly modRevision: WireInt;
 }
@@ -28,7 +28,7 @@
 }
 
 /** The fields of a job's record that change during a term, except for the completed tasks. */
-export type JobRecordState = Readonly<Pick<JobRecord, 'phase' | 'memberStates' | 'successor'>>;
+export type JobRecordState = Readonly<Pick<JobRecord, 'phase' | 'memberStates' | 'isSuccessorRunning'>>;
 
 /** The persisted state of one job and the writes to it. At most one write is in progress at a time. */
 export class JobPersistence {
@@ -46,9 +46,9 @@
   constructor(record: JobRecord, modRevision: WireInt) {
     this.knownRecord = record;
     this.knownModRevision = modRevision;
-    this.completedTasks = new CompletionBitmap(record.tasks);
-    this.persistedTasks = new CompletionBitmap(record.tasks);
-    this.mergeCompletedTasks(0, record.completed);
+    this.completedTasks = new CompletionBitmap(record.taskCount);
+    this.persistedTasks = new CompletionBitmap(record.taskCount);
+    this.mergeCompletedTasks(0, record.firstCompletionSegment);
   }
 
   /** The record that the state store is known to hold. */
@@ -72,12 +72,12 @@
   }
 
   /** Whether a write was sent whose result is not known yet. */
-  get writeInProgress(): boolean {
+  get isWriteInProgress(): boolean {
     return this.isWriting;
   }
 
   /** Wall time, in milliseconds, before which the job is not written. */
-  get writeNotBeforeMs(): number {
+  get earliestWriteMs(): number {
     return this.noWriteBeforeMs;
   }
 
@@ -94,7 +94,7 @@
     if (modRevision <= this.knownModRevision) return false;
     this.knownModRevision = modRevision;
     this.knownRecord = record;
-    this.mergeCompletedTasks(0, record.completed);
+    this.mergeCompletedTasks(0, record.firstCompletionSegment);
     return true;
   }
 
@@ -106,12 +106,12 @@
   }
 
   /** Whether the state store lacks some completed tasks, or holds a state that differs from the given one. */
-  differsFrom({ phase, memberStates, successor }: JobRecordState): boolean {
+  differsFrom({ phase, memberStates, isSuccessorRunning }: JobRecordState): boolean {
     return (
       this.dirtySegments.size > 0 ||
       this.knownRecord.phase !== phase ||
       this.knownRecord.memberStates !== memberStates ||
-      this.knownRecord.successor !== successor ||
+      this.knownRecord.isSuccessorRunning !== isSuccessorRunning ||
       this.completedTasks.completedCount !== this.persistedTasks.completedCount
     );
   }
@@ -121,19 +121,23 @@
    * record keeps its persisted state, because a job must not be stored as done before all its completed tasks are
    * stored.
    */
-  beginWrite(record: Omit<JobRecord, 'completed'>, maxSegments: number): JobWrite {
+  beginWrite(record: Omit<JobRecord, 'firstCompletionSegment'>, maxSegments: number): JobWrite {
     this.isWriting = true;
     const segments = [...this.dirtySegments].slice(0, maxSegments).map((segment): SegmentWrite => ({
-      segment,
-      text: encodeCompletionSegment(this.completedTasks, segment),
+      segmentIndex: segment,
+      encodedBitmap: encodeCompletionSegment(this.completedTasks, segment),
       modRevision: this.getSegmentRevision(segment),
     }));
     const hasRemainingSegments = segments.length < this.dirtySegments.size;
-    for (const { segment } of segments) this.dirtySegments.delete(segment);
+    for (const { segmentIndex } of segments) this.dirtySegments.delete(segmentIndex);
     const completed = encodeCompletionSegment(this.completedTasks, 0);
     const persistedState = { phase: 'open' as const, memberStates: this.knownRecord.memberStates };
     return {
-      record: { ...record, completed, ...(hasRemainingSegments ? persistedState : {}) },
+      record: {
+        ...record,
+        firstCompletionSegment: completed,
+        ...(hasRemainingSegments ? persistedState : {}),
+      },
       modRevision: this.knownModRevision,
       segments,
     };
@@ -144,21 +148,21 @@
     this.isWriting = false;
     this.knownModRevision = revision;
     this.knownRecord = record;
-    decodeCompletionSegment(this.persistedTasks, 0, record.completed);
-    for (const { segment, text } of segments) {
-      this.segmentRevisions.set(segment, revision);
-      decodeCompletionSegment(this.persistedTasks, segment, text);
+    decodeCompletionSegment(this.persistedTasks, 0, record.firstCompletionSegment);
+    for (const { segmentIndex, encodedBitmap } of segments) {
+      this.segmentRevisions.set(segmentIndex, revision);
+      decodeCompletionSegment(this.persistedTasks, segmentIndex, encodedBitmap);
     }
   }
 
   /** Ends a write that was not applied, or whose outcome is unknown. Its segments have to be written again. */
   abortWrite({ segments }: JobWrite): void {
     this.isWriting = false;
-    for (const { segment } of segments) this.dirtySegments.add(segment);
+    for (const { segmentIndex } of segments) this.dirtySegments.add(segmentIndex);
   }
 
   /** Postpones all writes of the job until the given wall time in milliseconds. */
-  postponeWrites(untilWallMs: number): void {
+  postponeWritesUntil(untilWallMs: number): void {
     this.noWriteBeforeMs = untilWallMs;
   }
 
--- a/src/pipeline/job-progress.ts
+++ b/src/pipeline/job-progress.ts
@@ -25,7 +25,7 @@
   ) {}
 
   /** Names of the nodes on which a task of the job failed. */
-  get failedNodes(): ReadonlySet<string> {
+  get nodesWithFailedTask(): ReadonlySet<string> {
     return this.nodeNamesWithFailedTask;
   }
 
--- a/src/pipeline/job.ts
+++ b/src/pipeline/job.ts
@@ -49,19 +49,19 @@
   private shouldAvoidSpot = false;
 
   constructor(options: JobOptions) {
-    const { uid, record, spec, modRevision, objectives } = options;
+    const { uid, record, spec, modRevision, deadlineObjectives } = options;
     this.uid = uid;
     this.spec = spec;
     this.dependencies = options.dependencies ?? [];
     this.startedInEarlierTerm = isExecuting(record.memberStates);
     this.persistence = new JobPersistence(record, modRevision);
     this.jobAllocations = new JobAllocations(spec.tasks, this.persistence);
-    this.progress = new JobProgress(uid, spec, options.runTimes ?? new RunTimeEstimator());
+    this.progress = new JobProgress(uid, spec, options.runTimeEstimator ?? new RunTimeEstimator());
     this.currentPhase = record.phase;
-    this.isRunningSuccessor = record.successor;
-    const pipelineWithDeadlines = createJobPipeline(spec, objectives);
+    this.isRunningSuccessor = record.isSuccessorRunning;
+    const pipelineWithDeadlines = createJobPipeline(spec, deadlineObjectives);
     this.pipelineExecution = new PipelineExecution(
-      record.successor ? createSuccessorPipeline(spec) : pipelineWithDeadlines,
+      record.isSuccessorRunning ? createSuccessorPipeline(spec) : pipelineWithDeadlines,
       record.memberStates,
     );
     const deadlinesMs = pipelineWithDeadlines.valueSteps.map(
@@ -93,12 +93,12 @@
   }
 
   /** Whether the job's deadlines have passed, so that it now runs the successor pipeline without deadlines. */
-  get successor(): boolean {
+  get isSuccessorRunning(): boolean {
     return this.isRunningSuccessor;
   }
 
   /** Whether the state store records that its tasks may have started. This must be so before the first task starts. */
-  get isExecutionPersisted(): boolean {
+  get isStartPersisted(): boolean {
     return this.pipelineExecution.isExecuting && isExecuting(this.persistence.record.memberStates);
   }
 
@@ -126,7 +126,7 @@
    * Ends the job's pipeline if it is due to end. Returns how it ended, or undefined if it goes on or the job was
    * already done or cancelled.
    */
-  updateEnding(wallMs: number): PipelineEnding | undefined {
+  endPipelineIfDue(wallMs: number): PipelineEnding | undefined {
     if (!this.isOpen) return undefined;
     if (!this.isService && this.unfinishedTaskCount === 0) {
       if (!this.pipelineExecution.isExecuting) this.pipelineExecution.submitExecutableMembers();
@@ -198,9 +198,9 @@
    * the end of the first step of the value function that can still be met, or Infinity if there is none. A deadline
    * that can no longer be met must not delay jobs whose deadlines can still be met.
    */
-  schedulingDeadlineMs(wallMs: number): number {
+  getSchedulingDeadlineMs(wallMs: number): number {
     const minRunTimeMs =
-      this.pendingTasks > 0 ? this.spec.estimatedRunS * 1000 * MIN_RUN_TIME_ESTIMATE_SHARE : 0;
+      this.pendingTaskCount > 0 ? this.spec.estimatedRunS * 1000 * MIN_RUN_TIME_ESTIMATE_SHARE : 0;
     const ownDeadlinesMs = this.pipelineExecution.valueSteps.map(
       (step) => this.acceptedMs + step.untilS * 1000,
     );
@@ -212,9 +212,9 @@
   }
 
   /** Wall time, in milliseconds, since which the job is accepted and all its dependencies are done. */
-  get queuedMs(): number {
-    const { dependenciesMetMs } = this.queueTimes;
-    return Number.isNaN(dependenciesMetMs) ? this.acceptedMs : dependenciesMetMs;
+  get queuedSinceMs(): number {
+    const { dependenciesDoneSinceMs } = this.queueTimes;
+    return Number.isNaN(dependenciesDoneSinceMs) ? this.acceptedMs : dependenciesDoneSinceMs;
   }
 
   /** Whether the job avoids spot instances because they are interrupted too often for its deadline. */
@@ -230,8 +230,8 @@
   // --- tasks and allocations -------------------------------------------------------------------------
 
   /** Number of tasks that are neither completed nor allocated. */
-  get pendingTasks(): number {
-    return this.unfinishedTaskCount - this.allocations.size;
+  get pendingTaskCount(): number {
+    return this.unfinishedTaskCount - this.attemptByTask.size;
   }
 
   /** Number of tasks that are not completed. */
@@ -240,7 +240,7 @@
   }
 
   /** The attempts that are, may be, or are planned to be on a node, by task number. */
-  get allocations(): ReadonlyMap<number, Attempt> {
+  get attemptByTask(): ReadonlyMap<number, Attempt> {
     return this.jobAllocations.attempts;
   }
 
@@ -276,7 +276,7 @@
     const { phase, spec } = this.persistence.record;
     // A cancelled job stays stored with its specification until none of its tasks is left on a node, so that a new
     // leader accounts for these tasks.
-    if (phase === 'cancelled') return spec !== undefined && this.allocations.size === 0;
+    if (phase === 'cancelled') return spec !== undefined && this.attemptByTask.size === 0;
     return phase !== 'done' && this.persistence.differsFrom(this);
   }
 
@@ -285,12 +285,12 @@
    * passed to `persistence`.
    */
   beginWrite(maxSegments: number): JobWrite {
-    const shouldKeepSpec = this.isOpen || this.allocations.size > 0;
+    const shouldKeepSpec = this.isOpen || this.attemptByTask.size > 0;
     const record = {
       phase: this.currentPhase,
       memberStates: this.memberStates,
-      successor: this.isRunningSuccessor,
-      tasks: this.spec.tasks,
+      isSuccessorRunning: this.isRunningSuccessor,
+      taskCount: this.spec.tasks,
       spec: shouldKeepSpec ? this.spec : undefined,
       acceptedMs: this.acceptedMs,
       ...(this.finishedAtMs === undefined ? {} : { finishedMs: this.finishedAtMs }),
--- a/src/pipeline/queue-times.ts
+++ b/src/pipeline/queue-times.ts
@@ -7,7 +7,7 @@
   private starvingFromMs = Infinity;
 
   /** Wall time, in milliseconds, at which the last dependency was done. NaN if they are not known to be done. */
-  get dependenciesMetMs(): number {
+  get dependenciesDoneSinceMs(): number {
     return this.dependenciesMetAtMs;
   }
 
--- a/src/scheduler/attempt-numbers.ts
+++ b/src/scheduler/attempt-numbers.ts
@@ -5,7 +5,7 @@
  * Issues the attempt numbers of one term. The high bits of a number hold the term, so a number beyond the end of the
  * term's range would belong to the next term.
  */
-export class AttemptNumbers {
+export class AttemptNumberGenerator {
   constructor(
     private readonly term: number,
     private issuedCount = 0,
--- a/src/scheduler/placement-constraints.ts
+++ b/src/scheduler/placement-constraints.ts
@@ -47,7 +47,7 @@
 }
 
 /** Returns how many more tasks of the job may run in the zone. */
-export function remainingZoneTasks(
+export function countRemainingZoneTasks(
   spec: JobSpec,
   allocationsPerZone: ReadonlyMap<string, number>,
   zone: string,
@@ -66,7 +66,7 @@
 }
 
 /** Returns how many tasks of this size fit into the free resources, or 0 for a task that needs no resources. */
-export function tasksThatFit(taskSize: Resources, free: Resources): number {
+export function countFittingTasks(taskSize: Resources, free: Resources): number {
   const count = Math.min(
     countUnitsThatFit(taskSize.cpus, free.cpus),
     countUnitsThatFit(taskSize.accelerators, free.accelerators),
--- a/src/scheduler/preemption-search.ts
+++ b/src/scheduler/preemption-search.ts
@@ -49,7 +49,7 @@
     let scope = this.scopesByKey.get(key);
     if (!scope) {
       const victims = this.openJobs.filter(
-        (victim) => victim.allocations.size > 0 && this.mayPreempt(job, victim),
+        (victim) => victim.attemptByTask.size > 0 && this.mayPreempt(job, victim),
       );
       this.scopesByKey.set(key, (scope = new PreemptionScope(new Set(victims))));
     }
--- a/src/scheduler/preemptor.ts
+++ b/src/scheduler/preemptor.ts
@@ -15,7 +15,12 @@
 import { compareByCost, rankPreemptions, type JobAttempt, type Preemption } from './preemption.js';
 import { PreemptionSearch, type PreemptionScope } from './preemption-search.js';
 import type { QuotaTracker } from './quota-tracker.js';
-import { estimateImagePullS, remainingRunS, timeToDeadlineS, type ImagePullRate } from './time-estimates.js';
+import {
+  estimateImagePullS,
+  estimateRemainingRunS,
+  getTimeToDeadlineS,
+  type ImagePullRate,
+} from './time-estimates.js';
 
 /** The dependencies of `Preemptor`. */
 export interface PreemptorDependencies {
@@ -76,7 +81,10 @@
   }
 
   private preemptForJob(job: Job, scope: PreemptionScope, nodes: FreeCapacityIndex, nowMs: number): void {
-    let remainingTasks = Math.min(job.pendingTasks, this.dependencies.quotaTracker.countRemainingTasks(job));
+    let remainingTasks = Math.min(
+      job.pendingTaskCount,
+      this.dependencies.quotaTracker.countRemainingTasks(job),
+    );
     if (remainingTasks <= 0) return;
     const allocationsPerZone = new Map(job.allocationsPerZone);
     for (const preemption of this.findPreemptions(job, scope, nodes, nowMs)) {
@@ -127,9 +135,9 @@
    */
   private computeStopCostS(victim: JobAttempt, nowMs: number): number {
     const elapsedRunS = (nowMs - victim.startedMs) / 1000;
-    const deadlineS = timeToDeadlineS(victim.job, this.dependencies.wallMs());
+    const deadlineS = getTimeToDeadlineS(victim.job, this.dependencies.wallMs());
     const wouldMissDeadline =
-      deadlineS >= remainingRunS(victim, nowMs) && deadlineS < victim.job.progress.expectedRunTimeS;
+      deadlineS >= estimateRemainingRunS(victim, nowMs) && deadlineS < victim.job.progress.expectedRunTimeS;
     return elapsedRunS + (wouldMissDeadline ? MISSED_DEADLINE_PENALTY_S : 0);
   }
 
--- a/src/scheduler/queue-order.ts
+++ b/src/scheduler/queue-order.ts
@@ -9,7 +9,7 @@
   /** The job's own rank, or a higher one that it inherited from a job that depends on it. */
   readonly rank: Rank;
   /** Wall time, in milliseconds, since which the job may run. */
-  readonly queuedMs: number;
+  readonly queuedSinceMs: number;
   /**
    * Wall time, in milliseconds, of the earliest deadline among the job and the jobs that depend on it. Infinity if none
    * of them has a deadline.
@@ -33,7 +33,7 @@
     ]),
   );
   const withinGuarantee = new Set<T>();
-  for (const job of [...jobs].sort((a, b) => a.queuedMs - b.queuedMs)) {
+  for (const job of [...jobs].sort((a, b) => a.queuedSinceMs - b.queuedSinceMs)) {
     const remaining = remainingPerTeam.get(job.spec.team);
     if (!remaining) continue;
     remaining.cpus -= job.unfinishedTaskCount * job.spec.cpus;
@@ -53,7 +53,7 @@
  * @param isStarving - whether a job has waited too long without a running task
  * @param getDueMs - wall time in ms of the earliest deadline that a job can still meet, or Infinity if there is none
  */
-export function compareByRelease<T extends QueuedJob>(
+export function createQueueComparator<T extends QueuedJob>(
   withinGuarantee: ReadonlySet<T>,
   isStarving: (job: T) => boolean,
   getDueMs: (job: T) => number,
@@ -64,7 +64,7 @@
     RANKS.indexOf(a.rank) - RANKS.indexOf(b.rank) ||
     Number(isPreferred(b)) - Number(isPreferred(a)) ||
     getEffectiveDueMs(a, getDueMs(a)) - getEffectiveDueMs(b, getDueMs(b)) ||
-    a.queuedMs - b.queuedMs;
+    a.queuedSinceMs - b.queuedSinceMs;
 }
 
 /**
@@ -77,5 +77,5 @@
   if (dueMs < Infinity) return dueMs;
   return job.earliestDeadlineMs < Infinity
     ? job.earliestDeadlineMs + LATE_JOB_DUE_DELAY_MS
-    : job.queuedMs + NO_DEADLINE_JOB_DUE_DELAY_MS;
+    : job.queuedSinceMs + NO_DEADLINE_JOB_DUE_DELAY_MS;
 }
--- a/src/scheduler/quota-tracker.ts
+++ b/src/scheduler/quota-tracker.ts
@@ -28,12 +28,12 @@
   recountUnreconciledUsage(): void {
     this.unreconciledUsage.clear();
     if (this.dependencies.isReconciled()) return;
-    for (const { spec, startedInEarlierTerm, pendingTasks } of this.dependencies.jobs.values()) {
+    for (const { spec, startedInEarlierTerm, pendingTaskCount } of this.dependencies.jobs.values()) {
       if (!startedInEarlierTerm) continue;
       const usage = this.unreconciledUsage.get(spec.team) ?? { cpus: 0, accelerators: 0, memGb: 0 };
       this.unreconciledUsage.set(spec.team, usage);
-      usage.cpus += pendingTasks * spec.cpus;
-      usage.accelerators += pendingTasks * spec.accelerators;
+      usage.cpus += pendingTaskCount * spec.cpus;
+      usage.accelerators += pendingTaskCount * spec.accelerators;
     }
   }
 
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -4,7 +4,7 @@
 import type { NodeHealth } from '../cluster/node-health.js';
 import { addResources, type Resources } from '../cluster/resources.js';
 import { MIN_START_LIMIT_PER_CYCLE } from '../constants.js';
-import type { AttemptNumbers } from './attempt-numbers.js';
+import type { AttemptNumberGenerator } from './attempt-numbers.js';
 import { FreeCapacityIndex } from './free-capacity-index.js';
 import { isFeasible, type NodeCapacity } from './node-filter.js';
 import { scoreNodes, type PlacementRequest } from './node-scoring.js';
@@ -24,7 +24,7 @@
   /** Quotas by team name. */
   readonly quotas: ReadonlyMap<string, TeamQuota>;
   /** Issues the attempt numbers of this term. */
-  readonly attemptNumbers: AttemptNumbers;
+  readonly attemptNumbers: AttemptNumberGenerator;
   /** Returns the instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, ImagePullRate>;
   /** Whether every node of earlier terms is reconciled. */
@@ -67,7 +67,7 @@
   }
 
   /** Returns how many more tasks of the job its team's quota allows if `plannedUsage` is reserved for other tasks. */
-  remainingQuotaOf(job: Job, plannedUsage?: Resources): number {
+  countTasksWithinQuota(job: Job, plannedUsage?: Resources): number {
     return this.quotaTracker.countRemainingTasks(job, plannedUsage);
   }
 
@@ -82,8 +82,8 @@
     for (const job of openJobs) {
       const mayStart = this.mayStart(job, nowMs);
       if (mayStart) this.placeJob(job, cycle, nowMs);
-      if (mayStart && job.pendingTasks > 0) {
-        job.queueTimes.recordPending(job.allocations.size, nowMs);
+      if (mayStart && job.pendingTaskCount > 0) {
+        job.queueTimes.recordPending(job.attemptByTask.size, nowMs);
         waitingJobs.push(job);
       } else {
         job.queueTimes.recordNotPending();
@@ -167,7 +167,7 @@
       spec,
       allocationsPerZone,
       avoidsSpot: job.avoidsSpot,
-      avoidedNodeNames: job.progress.failedNodes,
+      avoidedNodeNames: job.progress.nodesWithFailedTask,
     };
     return scoreNodes(request, nodes.findCandidates(spec, allocationsPerZone), (node) =>
       estimateImagePullS(node, spec, this.dependencies.instanceTypes()),
@@ -177,7 +177,7 @@
   private planStart(job: Job, taskIndex: number, node: Node, nowMs: number): void {
     job.submitExecutableMembers();
     const attemptNumber = this.dependencies.attemptNumbers.next();
-    this.dependencies.clusterState.planAttempt({ job, index: taskIndex, number: attemptNumber, node }, nowMs);
+    this.dependencies.clusterState.planAttempt({ job, taskIndex, number: attemptNumber, node }, nowMs);
     node.markBusy();
   }
 }
--- a/src/scheduler/time-estimates.ts
+++ b/src/scheduler/time-estimates.ts
@@ -13,8 +13,8 @@
  * Returns the seconds until the deadline that determines the job's position in the queue. Infinity if the job has no
  * deadline that can still be met.
  */
-export function timeToDeadlineS(job: Job, wallMs: number): number {
-  return (job.schedulingDeadlineMs(wallMs) - wallMs) / 1000;
+export function getTimeToDeadlineS(job: Job, wallMs: number): number {
+  return (job.getSchedulingDeadlineMs(wallMs) - wallMs) / 1000;
 }
 
 /**
@@ -24,7 +24,7 @@
  *
  * @param nowMs - steady time in milliseconds
  */
-export function remainingRunS({ job, state, startedMs }: Attempt, nowMs: number): number {
+export function estimateRemainingRunS({ job, state, startedMs }: Attempt, nowMs: number): number {
   if (!job || job.isService || state === 'exited') return Infinity;
   const elapsedRunS = (nowMs - startedMs) / 1000;
   return Math.max(job.progress.expectedRunTimeS - elapsedRunS, elapsedRunS * OVERRUN_TIME_SHARE);
--- a/src/state/records/job-record.ts
+++ b/src/state/records/job-record.ts
@@ -12,7 +12,7 @@
 export interface JobRecord {
   readonly phase: JobPhase;
   /** The number of tasks. It is kept after the description has been dropped. */
-  readonly tasks: number;
+  readonly taskCount: number;
   /** The description, or undefined once the job is over and none of its tasks is left on a node. */
   readonly spec?: JobSpec;
   /** Wall-clock time in milliseconds at which a controller accepted the job. */
@@ -20,9 +20,9 @@
   /** The state of each member of the job's pipeline as one letter: N, E, S or F (see src/pipeline/pipeline.ts). */
   readonly memberStates: string;
   /** Whether the pipeline with a deadline has ended and its successor without a deadline is running. */
-  readonly successor: boolean;
+  readonly isSuccessorRunning: boolean;
   /** The first segment of the completion bitmap, encoded. */
-  readonly completed: string;
+  readonly firstCompletionSegment: string;
   /** Wall-clock time in milliseconds at which the job was done. Absent in records of earlier versions. */
   readonly finishedMs?: number;
 }
@@ -32,15 +32,15 @@
 
 /** Encodes a job. */
 export function encodeJob(record: JobRecord): unknown {
-  const commonFields = { p: STORED_PHASES[record.phase], n: record.tasks, t: record.acceptedMs };
+  const commonFields = { p: STORED_PHASES[record.phase], n: record.taskCount, t: record.acceptedMs };
   const finishFields = record.finishedMs === undefined ? {} : { f: record.finishedMs };
   if (!record.spec) return { ...commonFields, ...finishFields, x: record.memberStates };
   return {
     ...commonFields,
     ...finishFields,
     x: record.memberStates,
-    u: record.successor ? 1 : 0,
-    d: record.completed,
+    u: record.isSuccessorRunning ? 1 : 0,
+    d: record.firstCompletionSegment,
     s: encodeJobSpec(record.spec),
   };
 }
@@ -51,20 +51,20 @@
 export function decodeJob(value: unknown): JobRecord | undefined {
   if (!isObject(value)) return undefined;
   const phase = PHASES.find((candidate) => STORED_PHASES[candidate] === value.p);
-  const { n: tasks, t: acceptedMs, x: memberStates } = value;
-  if (!phase || !isPositiveInteger(tasks) || typeof acceptedMs !== 'number') return undefined;
+  const { n: taskCount, t: acceptedMs, x: memberStates } = value;
+  if (!phase || !isPositiveInteger(taskCount) || typeof acceptedMs !== 'number') return undefined;
   if (typeof memberStates !== 'string' || !/^[NESF]{1,2}$/.test(memberStates)) return undefined;
   const decodedSpec = decodeJobSpec(value.s);
-  const spec = decodedSpec?.tasks === tasks ? decodedSpec : undefined;
+  const spec = decodedSpec?.tasks === taskCount ? decodedSpec : undefined;
   if (phase === 'open' && !spec) return undefined;
   return {
     phase,
-    tasks,
+    taskCount,
     spec,
     acceptedMs,
     memberStates,
-    successor: value.u === 1,
-    completed: typeof value.d === 'string' ? value.d : '',
+    isSuccessorRunning: value.u === 1,
+    firstCompletionSegment: typeof value.d === 'string' ? value.d : '',
     ...(typeof value.f === 'number' ? { finishedMs: value.f } : {}),
   };
 }
@@ -76,6 +76,6 @@
 
 /** Returns the maximum size in bytes of a job's stored value, however many of its tasks are completed. */
 export function maxJobBytes(record: JobRecord): number {
-  const withoutBitmap = encodeJob({ ...record, completed: '', finishedMs: record.acceptedMs });
-  return encodedBytes(withoutBitmap) + maxFirstSegmentLength(record.tasks);
+  const withoutBitmap = encodeJob({ ...record, firstCompletionSegment: '', finishedMs: record.acceptedMs });
+  return encodedBytes(withoutBitmap) + maxFirstSegmentLength(record.taskCount);
 }
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -31,12 +31,12 @@
 function decodeTaskStatus(value: unknown): TaskStatus | undefined {
   if (!isObject(value) || typeof value.piece !== 'string' || !isWireInt(value.try)) return undefined;
   const slashIndex = value.piece.lastIndexOf('/');
-  const index = Number(value.piece.slice(slashIndex + 1));
-  if (slashIndex <= 0 || !Number.isSafeInteger(index) || index < 0) return undefined;
+  const taskIndex = Number(value.piece.slice(slashIndex + 1));
+  if (slashIndex <= 0 || !Number.isSafeInteger(taskIndex) || taskIndex < 0) return undefined;
   if (typeof value.phase !== 'string') return undefined;
   return {
     job: value.piece.slice(0, slashIndex),
-    index,
+    taskIndex,
     attempt: value.try,
     // An unknown state counts as that of a task which is on the node but does not run yet. If the whole heartbeat were
     // rejected instead, the worker's lease would expire, and every task of the node would end.
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -264,6 +264,6 @@
 
 /** Whether the node still holds resources for the attempt. */
 function isAllocated(attempt: Attempt): boolean {
-  const { node, jobUid, index, number, state } = attempt;
-  return state !== 'exited' && node.attempts.get(attemptKey(jobUid, index, number)) === attempt;
+  const { node, jobUid, taskIndex, number, state } = attempt;
+  return state !== 'exited' && node.attempts.get(attemptKey(jobUid, taskIndex, number)) === attempt;
 }
--- a/src/workers/stop-commands.ts
+++ b/src/workers/stop-commands.ts
@@ -19,7 +19,7 @@
     .filter((task) => task.state !== 'exited' && isEnded(task.job))
     .map((task) => ({
       kind: 'stop',
-      task: `${task.job}/${task.index}`,
+      task: `${task.job}/${task.taskIndex}`,
       attempt: task.attempt,
       gracePeriodS: 0,
     }));
--- a/test/api/admission.test.ts
+++ b/test/api/admission.test.ts
@@ -3,10 +3,10 @@
 import { findRejectionReason } from '../../src/api/admission.js';
 import type { JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
-import { LARGE, RED, SMALL } from '../support/scheduling-fixtures.js';
+import { LARGE_INSTANCE_TYPE, RED_TEAM_QUOTA, SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 test('a job that can never run is rejected with the reason', () => {
-  const quotas = new Map([[RED.name, RED]]);
+  const quotas = new Map([[RED_TEAM_QUOTA.name, RED_TEAM_QUOTA]]);
   const cases: [fields: Partial<JobSpec>, reason: string | undefined][] = [
     [{}, undefined],
     [{ team: 'none' }, 'unknown team'],
@@ -19,5 +19,8 @@
     [{ tasks: 10, kind: 'service' }, undefined],
   ];
   for (const [fields, reason] of cases)
-    assert.equal(findRejectionReason(jobSpec(fields), [SMALL, LARGE], quotas), reason);
+    assert.equal(
+      findRejectionReason(jobSpec(fields), [SMALL_INSTANCE_TYPE, LARGE_INSTANCE_TYPE], quotas),
+      reason,
+    );
 });
--- a/test/autoscaler/headroom.test.ts
+++ b/test/autoscaler/headroom.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { planHeadroom } from '../../src/autoscaler/headroom.js';
 import { jobSpec } from '../fixtures.js';
-import { SMALL } from '../support/scheduling-fixtures.js';
+import { SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 test('headroom covers the tasks that are expected while a node boots, for job classes that must start sooner', () => {
   const createService = (tasks: number, acceptedMs: number, jobClass = 'live') => ({
@@ -39,6 +39,9 @@
   ];
   for (const [recentJobs, withinS, count] of cases) {
     const adjustedObjectives = objectives.map((objective) => ({ ...objective, withinS }));
-    assert.equal(planHeadroom(adjustedObjectives, recentJobs, [SMALL], nowMs)[0]?.taskCount, count);
+    assert.equal(
+      planHeadroom(adjustedObjectives, recentJobs, [SMALL_INSTANCE_TYPE], nowMs)[0]?.taskCount,
+      count,
+    );
   }
 });
--- a/test/autoscaler/scale-out-planner.test.ts
+++ b/test/autoscaler/scale-out-planner.test.ts
@@ -4,7 +4,7 @@
 import { planScaleOut } from '../../src/autoscaler/scale-out-planner.js';
 import type { JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
-import { LARGE, SMALL } from '../support/scheduling-fixtures.js';
+import { LARGE_INSTANCE_TYPE, SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 const formatKind = ({ spot }: { spot: boolean }): string => (spot ? 'spot' : 'on demand');
 
@@ -140,7 +140,7 @@
     ],
   ];
   for (const [name, demands, incoming, isUnavailable, expected] of cases) {
-    const availability = { instanceTypes: [SMALL, LARGE], isUnavailable };
+    const availability = { instanceTypes: [SMALL_INSTANCE_TYPE, LARGE_INSTANCE_TYPE], isUnavailable };
     const { plans } = planScaleOut({ demands, incomingCapacity: incoming, availability });
     assert.deepEqual(
       plans.map(({ offering, count }) => `${offering.type}/${formatKind(offering)}*${count}`),
--- a/test/cluster/heartbeat-reconciler.test.ts
+++ b/test/cluster/heartbeat-reconciler.test.ts
@@ -25,18 +25,18 @@
     'heartbeat',
     0,
   );
-  assert.deepEqual([...job.allocations.keys()], [0, 1]);
+  assert.deepEqual([...job.attemptByTask.keys()], [0, 1]);
   assert.deepEqual(clusterState.usage('red'), { cpus: 4, accelerators: 0, memGb: 8 });
   assert.equal(reconciler.apply(node, createHeartbeat(1, 4), 'heartbeat', 10), false);
-  assert.equal(job.allocations.size, 2);
+  assert.equal(job.attemptByTask.size, 2);
   assert.equal(
     reconciler.apply(node, createHeartbeat(2, 1, [createRunningTask(2, 9)]), 'heartbeat', 20),
     true,
   );
-  assert.deepEqual([...job.allocations.keys()], [2]);
+  assert.deepEqual([...job.attemptByTask.keys()], [2]);
   assert.equal(released.length, 2);
   clusterState.fenceIncarnation(node);
-  assert.equal(job.allocations.size, 0);
+  assert.equal(job.attemptByTask.size, 0);
   assert.equal(
     reconciler.apply(node, createHeartbeat(2, 9, [createRunningTask(2, 9)]), 'heartbeat', 30),
     false,
--- a/test/cluster/node-health.test.ts
+++ b/test/cluster/node-health.test.ts
@@ -23,7 +23,7 @@
     [[], false],
   ];
   steps.forEach(([tasks, isSchedulable], step) => {
-    if (node.attempts.size === 0) clusterState.planAttempt({ job, index: 0, number: 7, node }, step);
+    if (node.attempts.size === 0) clusterState.planAttempt({ job, taskIndex: 0, number: 7, node }, step);
     reconciler.apply(node, createHeartbeat(1, step + 1, tasks), 'heartbeat', step);
     assert.equal(health.isSchedulable(node, step), isSchedulable, `step ${step}`);
     assert.equal(health.isUnreachable(node, step), !isSchedulable, `step ${step}`);
--- a/test/cluster/pending-commands.test.ts
+++ b/test/cluster/pending-commands.test.ts
@@ -16,7 +16,7 @@
     'heartbeat',
     0,
   );
-  assert.equal(job.allocations.get(0)!.number, 7);
+  assert.equal(job.attemptByTask.get(0)!.number, 7);
   assert.equal(clusterState.usage('red').cpus, 4);
   const commands = listCommands(node).map(({ kind, attempt }) => `${kind} ${attempt}`);
   assert.deepEqual(commands, ['stop 8']);
@@ -37,7 +37,7 @@
 test('a start is withdrawn only when it certainly was not and will not be executed', () => {
   const { job, clusterState, reconciler, node, released } = createClusterWithNode();
   reconciler.apply(node, createHeartbeat(1, 1), 'heartbeat', 0);
-  const attempt = clusterState.planAttempt({ job, index: 0, number: 7, node }, 0);
+  const attempt = clusterState.planAttempt({ job, taskIndex: 0, number: 7, node }, 0);
   attempt.markStartSent(1, 0);
   attempt.endDirectStart('lost');
   reconciler.apply(node, createHeartbeat(1, 2), 'heartbeat', 10);
@@ -45,10 +45,10 @@
   // The start command may still arrive, so the attempt stays allocated even though it is no longer wanted.
   attempt.requestStop(0);
   reconciler.apply(node, createHeartbeat(1, 3), 'heartbeat', 20);
-  assert.equal(job.allocations.size, 1);
+  assert.equal(job.attemptByTask.size, 1);
   const commands = listCommands(node).map(({ kind }) => kind);
   assert.deepEqual(commands, ['stop']);
   reconciler.apply(node, createHeartbeat(2, 1), 'heartbeat', 30);
-  assert.equal(job.allocations.size, 0);
+  assert.equal(job.attemptByTask.size, 0);
   assert.deepEqual(released, [attempt]);
 });
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -162,12 +162,12 @@
 test('malformed or truncated stored values are rejected', () => {
   const record = {
     phase: 'open' as const,
-    tasks: 4,
+    taskCount: 4,
     spec: jobSpec(),
     acceptedMs: 5,
     memberStates: 'NN',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
   const job = encodeJob(record) as Record<string, unknown>;
   assert.deepEqual(decodeJob(job), record);
--- a/test/duties/scenarios.test.ts
+++ b/test/duties/scenarios.test.ts
@@ -133,7 +133,15 @@
 
 test('detail records are obsolete once their job no longer needs them', () => {
   const encodeJobRecord = (phase: JobRecord['phase'], spec?: JobRecord['spec']): unknown =>
-    encodeJob({ phase, tasks: 4, spec, acceptedMs: 5, memberStates: 'S', successor: false, completed: '' });
+    encodeJob({
+      phase,
+      taskCount: 4,
+      spec,
+      acceptedMs: 5,
+      memberStates: 'S',
+      isSuccessorRunning: false,
+      firstCompletionSegment: '',
+    });
   const dependencyKey = (uid: string): string => dependencyListKey(uid, { id: 'k1', parts: 1 }, 0);
   const values: [key: string, value: unknown, isObsolete: boolean][] = [
     [jobKey('done'), encodeJobRecord('done'), false],
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -167,11 +167,11 @@
   key: jobKey(uid),
   value: encodeJob({
     phase: 'cancelled',
-    tasks: 1,
+    taskCount: 1,
     acceptedMs: 0,
     memberStates: 'N',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   }),
   modRevision,
 });
--- a/test/former.ts
+++ b/test/former.ts
@@ -40,17 +40,22 @@
 export function decodeJobAsProduction(value: unknown): Record<string, unknown> | undefined {
   if (!isObject(value)) return undefined;
   const phase = { o: 'open', d: 'done', c: 'cancelled' }[String(value.p)];
-  const { n: tasks, t: acceptedMs, x: tuple, s: storedSpec } = value;
-  if (!phase || !Number.isSafeInteger(tasks) || (tasks as number) <= 0 || typeof acceptedMs !== 'number')
+  const { n: taskCount, t: acceptedMs, x: tuple, s: storedSpec } = value;
+  if (
+    !phase ||
+    !Number.isSafeInteger(taskCount) ||
+    (taskCount as number) <= 0 ||
+    typeof acceptedMs !== 'number'
+  )
     return undefined;
   if (typeof tuple !== 'string' || !/^[NESF]{1,2}$/.test(tuple)) return undefined;
   const spec =
-    isObject(storedSpec) && storedSpec.tasks === tasks && typeof storedSpec.team === 'string'
+    isObject(storedSpec) && storedSpec.tasks === taskCount && typeof storedSpec.team === 'string'
       ? storedSpec
       : undefined;
   if (phase === 'open' && !spec) return undefined;
   const done = typeof value.d === 'string' ? value.d : '';
-  return { phase, tasks, spec, acceptedMs, tuple, successor: value.u === 1, done };
+  return { phase, taskCount, spec, acceptedMs, tuple, isSuccessorRunning: value.u === 1, done };
 }
 
 /**
@@ -58,7 +63,7 @@
  * description.
  */
 export function encodeJobAsProduction(record: Record<string, unknown>): unknown {
-  const { phase, tasks, acceptedMs, tuple, successor, done, spec } = record;
-  const base = { p: String(phase)[0], n: tasks, t: acceptedMs, x: tuple };
-  return spec === undefined ? base : { ...base, u: successor ? 1 : 0, d: done, s: spec };
+  const { phase, taskCount, acceptedMs, tuple, isSuccessorRunning, done, spec } = record;
+  const base = { p: String(phase)[0], n: taskCount, t: acceptedMs, x: tuple };
+  return spec === undefined ? base : { ...base, u: isSuccessorRunning ? 1 : 0, d: done, s: spec };
 }
--- a/test/golden/follower-fixture.ts
+++ b/test/golden/follower-fixture.ts
@@ -36,17 +36,17 @@
 
 const OPEN_JOB: JobRecord = {
   phase: 'open',
-  tasks: 4,
+  taskCount: 4,
   spec: undefined,
   acceptedMs: 1_700_000_000_000,
   memberStates: 'N',
-  successor: false,
-  completed: '',
+  isSuccessorRunning: false,
+  firstCompletionSegment: '',
 };
 
 const createOpenJob = (uid: string, fields: Parameters<typeof jobSpec>[0] = {}): JobRecord => ({
   ...OPEN_JOB,
-  tasks: fields.tasks ?? OPEN_JOB.tasks,
+  taskCount: fields.tasks ?? OPEN_JOB.taskCount,
   spec: jobSpec({ uid, ...fields }),
 });
 
@@ -87,14 +87,14 @@
   [jobKey(JOB_UIDS.running)]: encodeJob({
     ...createOpenJob(JOB_UIDS.running),
     memberStates: 'E',
-    completed: 'Aw==',
+    firstCompletionSegment: 'Aw==',
   }),
   [jobKey(JOB_UIDS.done)]: DONE_JOB_VALUE,
   [jobKey(JOB_UIDS.cancelled)]: encodeJob(CANCELLED_JOB),
   [jobKey(JOB_UIDS.cancelledWithFinishedTasks)]: encodeJob({
     ...createOpenJob(JOB_UIDS.cancelledWithFinishedTasks),
     phase: 'cancelled',
-    completed: 'BQ==',
+    firstCompletionSegment: 'BQ==',
   }),
   [jobKey(JOB_UIDS.dependsOnCancelled)]: encodeJob(
     createOpenJob(JOB_UIDS.dependsOnCancelled, { dependencies: [JOB_UIDS.cancelled] }),
@@ -102,7 +102,7 @@
   [jobKey(JOB_UIDS.service)]: encodeJob(createOpenJob(JOB_UIDS.service, { kind: 'service', rank: 'prod' })),
   [jobKey(JOB_UIDS.large)]: encodeJob({
     ...createOpenJob(JOB_UIDS.large, { tasks: 20_000 }),
-    completed: '/w==',
+    firstCompletionSegment: '/w==',
   }),
   [completionSegmentKey(JOB_UIDS.large, 1)]: 'Dw==',
   [jobKey(JOB_UIDS.unreadable)]: { p: 'z' },
--- a/test/golden/peer-frames.test.ts
+++ b/test/golden/peer-frames.test.ts
@@ -13,12 +13,12 @@
 
 const CANCELLED_JOB_VALUE = encodeJob({
   phase: 'cancelled',
-  tasks: 4,
+  taskCount: 4,
   spec: jobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'E',
-  successor: false,
-  completed: 'Aw==',
+  isSuccessorRunning: false,
+  firstCompletionSegment: 'Aw==',
 });
 
 /** Messages of every kind, with and without each optional field. */
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -30,12 +30,12 @@
 
 const OPEN_JOB: records.JobRecord = {
   phase: 'open',
-  tasks: 4,
+  taskCount: 4,
   spec: jobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'NN',
-  successor: false,
-  completed: '',
+  isSuccessorRunning: false,
+  firstCompletionSegment: '',
 };
 
 const SERVICE_SPEC = jobSpec({
@@ -65,17 +65,22 @@
 
 const JOBS: Record<string, records.JobRecord> = {
   'open array': OPEN_JOB,
-  'open service': { ...OPEN_JOB, tasks: 3, spec: SERVICE_SPEC },
-  'some tasks finished': { ...OPEN_JOB, memberStates: 'EN', completed: 'Bw==' },
-  'successor runs': { ...OPEN_JOB, memberStates: 'FE', successor: true },
+  'open service': { ...OPEN_JOB, taskCount: 3, spec: SERVICE_SPEC },
+  'some tasks finished': { ...OPEN_JOB, memberStates: 'EN', firstCompletionSegment: 'Bw==' },
+  'successor runs': { ...OPEN_JOB, memberStates: 'FE', isSuccessorRunning: true },
   done: { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'SN' },
-  'done, description still there': { ...OPEN_JOB, phase: 'done', memberStates: 'S', completed: 'Dw==' },
+  'done, description still there': {
+    ...OPEN_JOB,
+    phase: 'done',
+    memberStates: 'S',
+    firstCompletionSegment: 'Dw==',
+  },
   cancelled: { ...JOB_WITHOUT_SPEC, phase: 'cancelled', memberStates: 'FE' },
   'cancelled, description still there': {
     ...OPEN_JOB,
     phase: 'cancelled',
     memberStates: 'E',
-    completed: 'AQ==',
+    firstCompletionSegment: 'AQ==',
   },
   ...Object.fromEntries(
     records.RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }]),
--- a/test/golden/stored-jobs.test.ts
+++ b/test/golden/stored-jobs.test.ts
@@ -24,12 +24,12 @@
 
 const OPEN_JOB: JobRecord = {
   phase: 'open',
-  tasks: 4,
+  taskCount: 4,
   spec: jobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'N',
-  successor: false,
-  completed: '',
+  isSuccessorRunning: false,
+  firstCompletionSegment: '',
 };
 
 /** A job whose description was removed after it ended. */
@@ -60,11 +60,11 @@
 
 const JOBS: Record<string, JobRecord> = {
   'open array': OPEN_JOB,
-  'open service with every field': { ...OPEN_JOB, tasks: 3, spec: FULL_SPEC, memberStates: 'NN' },
+  'open service with every field': { ...OPEN_JOB, taskCount: 3, spec: FULL_SPEC, memberStates: 'NN' },
   'preferred member runs': { ...OPEN_JOB, memberStates: 'EN' },
   'preferred member failed': { ...OPEN_JOB, memberStates: 'FE' },
-  'successor runs': { ...OPEN_JOB, memberStates: 'E', successor: true },
-  'some tasks finished': { ...OPEN_JOB, memberStates: 'E', completed: 'Bw==' },
+  'successor runs': { ...OPEN_JOB, memberStates: 'E', isSuccessorRunning: true },
+  'some tasks finished': { ...OPEN_JOB, memberStates: 'E', firstCompletionSegment: 'Bw==' },
   'one dependency': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000007'] }) },
   'two dependencies': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000008', 'job-000007'] }) },
   'dependencies in keys of their own': {
@@ -77,7 +77,7 @@
     ...OPEN_JOB,
     phase: 'done',
     memberStates: 'S',
-    completed: 'Dw==',
+    firstCompletionSegment: 'Dw==',
     finishedMs: 1_790_000_102_623,
   },
   cancelled: { ...JOB_WITHOUT_SPEC, phase: 'cancelled', memberStates: 'F' },
@@ -85,7 +85,7 @@
     ...OPEN_JOB,
     phase: 'cancelled',
     memberStates: 'E',
-    completed: 'AQ==',
+    firstCompletionSegment: 'AQ==',
   },
   ...Object.fromEntries(RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }])),
 };
--- a/test/golden/worker-wire.test.ts
+++ b/test/golden/worker-wire.test.ts
@@ -63,7 +63,7 @@
 
 const TASK_STATUS: TaskStatus = {
   job: 'job-000412',
-  index: 3,
+  taskIndex: 3,
   attempt: 7,
   state: 'running',
   cause: undefined,
--- a/test/leader/job-store.test.ts
+++ b/test/leader/job-store.test.ts
@@ -19,12 +19,12 @@
   const key = jobKey('job-000001');
   const record = {
     phase: 'open' as const,
-    tasks,
+    taskCount: tasks,
     spec: jobSpec({ tasks }),
     acceptedMs: 0,
     memberStates: 'E',
   };
-  put(key, encodeJob({ ...record, successor: false, completed: '' }), 5);
+  put(key, encodeJob({ ...record, isSuccessorRunning: false, firstCompletionSegment: '' }), 5);
   const writes: {
     conditions: Condition[];
     operations: Operation[];
--- a/test/pipeline/dependency-graph.test.ts
+++ b/test/pipeline/dependency-graph.test.ts
@@ -30,7 +30,7 @@
   const storeJob = (uid: string, phase: StoredJobDependencies['phase'], dependencies?: string[]): void => {
     const storedJob = { phase, dependencies: dependencies ?? storedJobs.get(uid)?.dependencies ?? [] };
     storedJobs.set(uid, storedJob);
-    graph.update(uid, storedJob);
+    graph.updateJob(uid, storedJob);
   };
   return { graph, storeJob };
 }
@@ -183,16 +183,16 @@
     const { graph, storeJob } = createGraphWithStore();
     for (const change of changes) storeJob(...change);
     for (const [uid, status] of Object.entries(statuses))
-      assert.equal(graph.statusOf(uid), status, `${name}: ${uid}`);
+      assert.equal(graph.getStatus(uid), status, `${name}: ${uid}`);
   }
 });
 
 test('a job waits as long as its dependencies cannot be read', () => {
   const { graph, storeJob } = createGraphWithStore();
-  graph.update('b', { phase: 'open', dependencies: undefined });
-  assert.equal(graph.statusOf('b'), 'waiting');
+  graph.updateJob('b', { phase: 'open', dependencies: undefined });
+  assert.equal(graph.getStatus('b'), 'waiting');
   storeJob('b', 'open', []);
-  assert.equal(graph.statusOf('b'), 'ready');
+  assert.equal(graph.getStatus('b'), 'ready');
 });
 
 test('long chains and wide pipelines do not overflow the stack and leave no member in the graph', () => {
@@ -204,11 +204,11 @@
   for (const uid of independentUids) storeJob(uid, 'open');
   storeJob('wide', 'open', independentUids);
   for (const uid of independentUids.slice(1)) storeJob(uid, 'done');
-  assert.equal(graph.statusOf('wide'), 'waiting');
+  assert.equal(graph.getStatus('wide'), 'waiting');
   storeJob('w0', 'done');
-  assert.equal(graph.statusOf('wide'), 'ready');
+  assert.equal(graph.getStatus('wide'), 'ready');
   storeJob('j0', 'cancelled');
-  assert.equal(graph.statusOf(`j${count - 1}`), 'cancelled');
+  assert.equal(graph.getStatus(`j${count - 1}`), 'cancelled');
   for (let i = 1; i < count; i++) storeJob(`j${i}`, 'cancelled');
   storeJob('wide', 'done');
   assert.equal(graph.size, 0);
--- a/test/pipeline/job.test.ts
+++ b/test/pipeline/job.test.ts
@@ -13,26 +13,29 @@
   const spec = jobSpec(specFields);
   const record: JobRecord = {
     phase: 'open',
-    tasks: spec.tasks,
+    taskCount: spec.tasks,
     spec,
     acceptedMs: 1_000,
     memberStates: 'N',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
     ...recordFields,
   };
-  return new Job({ uid: spec.uid, record, spec, modRevision: 5, objectives: [] });
+  return new Job({ uid: spec.uid, record, spec, modRevision: 5, deadlineObjectives: [] });
 }
 
 test('a job is done once all tasks are completed, and is stored as done only with its last segment', () => {
   const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 1;
   const job = createJob({ tasks });
   for (let task = 0; task < tasks; task++) job.completeTask(task);
-  assert.equal(job.updateEnding(9_000), 'acceptable');
+  assert.equal(job.endPipelineIfDue(9_000), 'acceptable');
   assert.equal(job.phase, 'done');
   const partialWrite = job.beginWrite(1);
   assert.deepEqual([partialWrite.record.phase, partialWrite.record.memberStates], ['open', 'N']);
-  assert.deepEqual([partialWrite.modRevision, partialWrite.segments.map(({ segment }) => segment)], [5, [1]]);
+  assert.deepEqual(
+    [partialWrite.modRevision, partialWrite.segments.map(({ segmentIndex }) => segmentIndex)],
+    [5, [1]],
+  );
   job.persistence.completeWrite(partialWrite, 6);
   assert.ok(job.needsWrite);
   assert.ok(job.persistence.isCompletionPersisted(TASKS_PER_COMPLETION_SEGMENT));
@@ -40,7 +43,10 @@
   const lastWrite = job.beginWrite(1);
   assert.deepEqual([lastWrite.record.phase, lastWrite.record.memberStates], ['done', 'S']);
   assert.deepEqual([lastWrite.record.finishedMs, lastWrite.record.spec], [9_000, undefined]);
-  assert.deepEqual([lastWrite.modRevision, lastWrite.segments.map(({ segment }) => segment)], [6, [2]]);
+  assert.deepEqual(
+    [lastWrite.modRevision, lastWrite.segments.map(({ segmentIndex }) => segmentIndex)],
+    [6, [2]],
+  );
   job.persistence.completeWrite(lastWrite, 7);
   assert.ok(!job.needsWrite);
 });
@@ -49,9 +55,9 @@
   const job = createJob({ tasks: TASKS_PER_COMPLETION_SEGMENT + 1 });
   job.completeTask(TASKS_PER_COMPLETION_SEGMENT);
   const write = job.beginWrite(4);
-  assert.ok(job.persistence.writeInProgress);
+  assert.ok(job.persistence.isWriteInProgress);
   job.persistence.abortWrite(write);
-  assert.ok(!job.persistence.writeInProgress);
+  assert.ok(!job.persistence.isWriteInProgress);
   assert.ok(!job.persistence.isCompletionPersisted(TASKS_PER_COMPLETION_SEGMENT));
   assert.deepEqual(job.beginWrite(4), write);
 });
@@ -59,9 +65,9 @@
 test('a record or segment is applied only if it is newer than the known one', () => {
   const job = createJob({ tasks: TASKS_PER_COMPLETION_SEGMENT * 2 });
   const { record } = job.persistence;
-  assert.equal(job.persistence.applyRecord({ ...record, completed: 'AQ==' }, 5), false);
+  assert.equal(job.persistence.applyRecord({ ...record, firstCompletionSegment: 'AQ==' }, 5), false);
   assert.ok(!job.persistence.isCompleted(0));
-  assert.equal(job.persistence.applyRecord({ ...record, completed: 'AQ==' }, 6), true);
+  assert.equal(job.persistence.applyRecord({ ...record, firstCompletionSegment: 'AQ==' }, 6), true);
   assert.ok(job.persistence.isCompletionPersisted(0));
   job.persistence.applySegment(1, 'AQ==', 8);
   job.persistence.applySegment(1, 'Ag==', 8);
@@ -71,12 +77,12 @@
 
 test('pending tasks are neither completed nor allocated, and removing a second attempt frees no task', () => {
   const job = createJob();
-  const attempt = { index: 0 };
+  const attempt = { taskIndex: 0 };
   job.addAllocation(attempt, 'a');
-  job.addAllocation({ index: 1 }, 'a');
+  job.addAllocation({ taskIndex: 1 }, 'a');
   job.completeTask(2);
-  assert.deepEqual([job.findNextPendingTask(), job.pendingTasks, job.unfinishedTaskCount], [3, 1, 3]);
-  job.removeAllocation({ index: 0 }, 'a');
+  assert.deepEqual([job.findNextPendingTask(), job.pendingTaskCount, job.unfinishedTaskCount], [3, 1, 3]);
+  job.removeAllocation({ taskIndex: 0 }, 'a');
   assert.deepEqual([...job.allocationsPerZone], [['a', 2]]);
   job.removeAllocation(attempt, 'a');
   assert.deepEqual([...job.allocationsPerZone], [['a', 1]]);
@@ -97,7 +103,7 @@
   job.completeTask(0);
   job.progress.recordFailure('vm-2', 200);
   assert.equal(job.progress.earliestStartMs, 200 + INITIAL_FAILURE_BACKOFF_MS);
-  assert.deepEqual([...job.progress.failedNodes], ['vm-1', 'vm-2']);
+  assert.deepEqual([...job.progress.nodesWithFailedTask], ['vm-1', 'vm-2']);
   job.progress.delayStarts(50);
   assert.equal(job.progress.earliestStartMs, 200 + INITIAL_FAILURE_BACKOFF_MS);
 });
@@ -127,19 +133,19 @@
   assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [false, false]);
   job.submitExecutableMembers();
   assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [true, false]);
-  assert.ok(!job.isExecutionPersisted);
+  assert.ok(!job.isStartPersisted);
   job.persistence.completeWrite(job.beginWrite(1), 6);
-  assert.ok(job.isExecutionPersisted);
+  assert.ok(job.isStartPersisted);
   job.fallBackFromSpot();
   assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [false, true]);
-  assert.equal(job.updateEnding(10_999), undefined);
-  assert.equal(job.updateEnding(11_000), 'expired');
+  assert.equal(job.endPipelineIfDue(10_999), undefined);
+  assert.equal(job.endPipelineIfDue(11_000), 'expired');
   const { record } = job.beginWrite(1);
-  assert.deepEqual([record.phase, record.memberStates, record.successor], ['open', 'EN', true]);
+  assert.deepEqual([record.phase, record.memberStates, record.isSuccessorRunning], ['open', 'EN', true]);
 });
 
 test('a job can be cancelled only once', () => {
   const job = createJob();
   assert.deepEqual([job.cancel(), job.cancel(), job.phase], [true, false, 'cancelled']);
-  assert.equal(job.updateEnding(9_000), undefined);
+  assert.equal(job.endPipelineIfDue(9_000), undefined);
 });
--- a/test/scheduler/placement-constraints.test.ts
+++ b/test/scheduler/placement-constraints.test.ts
@@ -1,9 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { allowsZone, satisfiesConstraints, tasksThatFit } from '../../src/scheduler/placement-constraints.js';
+import {
+  allowsZone,
+  satisfiesConstraints,
+  countFittingTasks,
+} from '../../src/scheduler/placement-constraints.js';
 import type { JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
-import { SMALL } from '../support/scheduling-fixtures.js';
+import { SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 test('a task runs only on the instance types, zones and kinds of nodes that its job allows', () => {
   const defaultTarget = { type: 'small', zone: 'a', spot: false };
@@ -41,7 +45,7 @@
 });
 
 test('the scarcest resource limits the number of tasks that fit', () => {
-  assert.equal(tasksThatFit(jobSpec({ cpus: 2, memGb: 7.6 }), SMALL), 2);
-  assert.equal(tasksThatFit(jobSpec({ cpus: 0.1, memGb: 0 }), { ...SMALL, cpus: 0.3 }), 3);
-  assert.equal(tasksThatFit(jobSpec({ accelerators: 1 }), SMALL), 0);
+  assert.equal(countFittingTasks(jobSpec({ cpus: 2, memGb: 7.6 }), SMALL_INSTANCE_TYPE), 2);
+  assert.equal(countFittingTasks(jobSpec({ cpus: 0.1, memGb: 0 }), { ...SMALL_INSTANCE_TYPE, cpus: 0.3 }), 3);
+  assert.equal(countFittingTasks(jobSpec({ accelerators: 1 }), SMALL_INSTANCE_TYPE), 0);
 });
--- a/test/scheduler/queue-order.test.ts
+++ b/test/scheduler/queue-order.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  compareByRelease,
+  createQueueComparator,
   findJobsWithinGuarantee,
   type QueuedJob,
 } from '../../src/scheduler/queue-order.js';
 import type { JobSpec } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
-import { BLUE, RED } from '../support/scheduling-fixtures.js';
+import { BLUE_TEAM_QUOTA, RED_TEAM_QUOTA } from '../support/scheduling-fixtures.js';
 
 interface NamedJob extends QueuedJob {
   name: string;
@@ -26,7 +26,7 @@
     name,
     spec,
     rank: spec.rank,
-    queuedMs: acceptedMs,
+    queuedSinceMs: acceptedMs,
     earliestDeadlineMs,
     dueMs,
     unfinishedTaskCount: spec.tasks,
@@ -43,7 +43,7 @@
     createWaitingJob('blue prod', 10, Infinity, { team: 'blue', rank: 'prod' }),
     createWaitingJob('red idle', 0, 50, { rank: 'idle', tasks: 100 }),
   ];
-  const quotas = new Map([RED, BLUE].map((quota) => [quota.name, quota]));
+  const quotas = new Map([RED_TEAM_QUOTA, BLUE_TEAM_QUOTA].map((quota) => [quota.name, quota]));
   const jobsExceptIdle = jobs.slice(0, 6);
   const withinGuarantee = findJobsWithinGuarantee(jobsExceptIdle, quotas);
   assert.deepEqual([...withinGuarantee].map((job) => job.name).sort(), [
@@ -56,7 +56,7 @@
   const sortNames = (jobsToSort: NamedJob[], starvingNames: string[] = []): string[] =>
     [...jobsToSort]
       .sort(
-        compareByRelease(
+        createQueueComparator(
           withinGuarantee,
           (job) => starvingNames.includes(job.name),
           (job) => job.dueMs,
@@ -85,7 +85,7 @@
     createWaitingJob(`${i}`, i * 10_000, i * 10_000 + 60_000, { deadlineS: 60 }),
   );
   const sortedJobs = [lateJob, jobWithoutDeadline, ...newerJobs].sort(
-    compareByRelease(
+    createQueueComparator(
       new Set<NamedJob>(),
       () => false,
       (job) => job.dueMs,
--- a/test/scheduler/scheduler.test.ts
+++ b/test/scheduler/scheduler.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ATTEMPT_NUMBERS_PER_TERM, RESERVED_ATTEMPT_NUMBERS } from '../../src/constants.js';
-import { AttemptNumbers } from '../../src/scheduler/attempt-numbers.js';
+import { AttemptNumberGenerator } from '../../src/scheduler/attempt-numbers.js';
 import { Scheduler, type SchedulerDependencies } from '../../src/scheduler/scheduler.js';
 
 // The high bits of an attempt number hold the term, so a number beyond the term's range would belong to the next term.
@@ -13,7 +13,7 @@
   ];
   for (const [issuedCount, needsNewTerm] of cases) {
     const scheduler = new Scheduler({
-      attemptNumbers: new AttemptNumbers(1, issuedCount),
+      attemptNumbers: new AttemptNumberGenerator(1, issuedCount),
     } as SchedulerDependencies);
     assert.equal(scheduler.needsNewTerm, needsNewTerm, `${issuedCount} attempt numbers issued`);
   }
--- a/test/state/dependency-lists.test.ts
+++ b/test/state/dependency-lists.test.ts
@@ -34,9 +34,9 @@
     phase: 'open' as const,
     acceptedMs: 1.7e12,
     memberStates: 'NN',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
   // The largest array also fits into the smaller value size, with all of its tasks completed.
-  assert.ok(maxJobBytes({ ...recordFields, tasks: 100_000, spec: jobSpec({ tasks: 100_000 }) }) <= 2048);
+  assert.ok(maxJobBytes({ ...recordFields, taskCount: 100_000, spec: jobSpec({ tasks: 100_000 }) }) <= 2048);
 });
--- a/test/support/cluster-fixture.ts
+++ b/test/support/cluster-fixture.ts
@@ -18,14 +18,14 @@
   const spec = jobSpec();
   const record = {
     phase: 'open' as const,
-    tasks: 4,
+    taskCount: 4,
     spec,
     acceptedMs: 0,
     memberStates: 'E',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
-  return new Job<Attempt>({ uid: JOB_UID, record, spec, modRevision: 1, objectives: [] });
+  return new Job<Attempt>({ uid: JOB_UID, record, spec, modRevision: 1, deadlineObjectives: [] });
 }
 
 /**
@@ -37,7 +37,7 @@
   const released: Attempt[] = [];
   const exits: string[] = [];
   const clusterState = new ClusterState({
-    exited: (attempt, cause) => exits.push(`${attempt.index} ${cause}`),
+    exited: (attempt, cause) => exits.push(`${attempt.taskIndex} ${cause}`),
     released: (attempt) => released.push(attempt),
   });
   const reconciler = new HeartbeatReconciler({
@@ -72,7 +72,7 @@
 /** Creates a running task of the job, as its worker lists it. */
 export const createRunningTask = (index: number, attempt: number): TaskStatus => ({
   job: JOB_UID,
-  index,
+  taskIndex: index,
   attempt,
   state: 'running',
 });
--- a/test/support/scheduling-fixtures.ts
+++ b/test/support/scheduling-fixtures.ts
@@ -3,7 +3,7 @@
 import type { TeamQuota } from '../../src/scheduler/team-quota.js';
 
 /** A small instance type with a short boot time. */
-export const SMALL: InstanceType = {
+export const SMALL_INSTANCE_TYPE: InstanceType = {
   name: 'small',
   cpus: 4,
   accelerators: 0,
@@ -16,8 +16,8 @@
   zones: ['a', 'b'],
 };
 /** A large instance type that is cheaper per processor core and takes longer to boot. */
-export const LARGE: InstanceType = {
-  ...SMALL,
+export const LARGE_INSTANCE_TYPE: InstanceType = {
+  ...SMALL_INSTANCE_TYPE,
   name: 'large',
   cpus: 16,
   memGb: 64,
@@ -26,7 +26,7 @@
   bootS: 60,
 };
 /** The quota of team `red`. */
-export const RED: TeamQuota = {
+export const RED_TEAM_QUOTA: TeamQuota = {
   name: 'red',
   guaranteedCpus: 8,
   cpuLimit: 20,
@@ -34,4 +34,4 @@
   acceleratorLimit: 0,
 };
 /** The quota of team `blue`, which equals that of team `red` except for the name. */
-export const BLUE: TeamQuota = { ...RED, name: 'blue' };
+export const BLUE_TEAM_QUOTA: TeamQuota = { ...RED_TEAM_QUOTA, name: 'blue' };
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -31,7 +31,7 @@
 /** Returns a job's record with the field names of the version in production. */
 function withProductionFieldNames({
   memberStates: tuple,
-  completed: done,
+  firstCompletionSegment: done,
   spec,
   ...rest
 }: JobRecord): object {
@@ -63,12 +63,12 @@
   for (const spec of [jobSpec({ dependencies }), jobSpec({ dependencyList }), jobSpec()]) {
     const record = {
       phase: 'open' as const,
-      tasks: 4,
+      taskCount: 4,
       spec,
       acceptedMs: 5,
       memberStates: 'N',
-      successor: false,
-      completed: '',
+      isSuccessorRunning: false,
+      firstCompletionSegment: '',
     };
     const decoded = decodeJobAsProduction(encodeJob(record));
     assert.deepEqual(decoded, withProductionFieldNames(record));
@@ -80,11 +80,11 @@
   // The version in production ignores the time at which a job finished. No version writes a finished job again.
   const done = {
     phase: 'done' as const,
-    tasks: 4,
+    taskCount: 4,
     acceptedMs: 5,
     memberStates: 'S',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
   assert.equal(decodeJobAsProduction(encodeJob({ ...done, finishedMs: 9 }))?.phase, 'done');
   assert.equal(decodeJob(encodeJob({ ...done, finishedMs: 9 }))?.finishedMs, 9);
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -19,14 +19,14 @@
   const spec = jobSpec();
   const record = {
     phase: 'open' as const,
-    tasks: 4,
+    taskCount: 4,
     spec,
     acceptedMs: 0,
     memberStates: 'E',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
-  return new Job<Attempt>({ uid: 'job-000001', record, spec, modRevision: 1, objectives: [] });
+  return new Job<Attempt>({ uid: 'job-000001', record, spec, modRevision: 1, deadlineObjectives: [] });
 }
 
 /** Creates a dispatcher and a node with one planned attempt. `respond` simulates the worker of the node. */
@@ -36,7 +36,7 @@
   const node = clusterState.addNode({ ...description, capacity: { cpus: 8, accelerators: 0, memGb: 64 } }, 0);
   node.markReconciled();
   const job = createJob();
-  const attempt = clusterState.planAttempt({ job, index: 0, number: 7, node }, 0);
+  const attempt = clusterState.planAttempt({ job, taskIndex: 0, number: 7, node }, 0);
   const authority = new LeadershipAuthority();
   authority.renew(0, TERM_MS);
   const bodies: string[] = [];
