--- a/src/autoscaler/incoming-capacity.ts
+++ b/src/autoscaler/incoming-capacity.ts
@@ -43,8 +43,8 @@
     const { clusterState, nodeHealth } = this.dependencies;
     const immediate: IncomingCapacity[] = [];
     for (const node of clusterState.nodes.values()) {
-      if (node.spot || !node.persisted || !nodeHealth.isSchedulable(node, nowMs)) continue;
-      const free = { ...clusterState.freeResources(node) };
+      if (node.spot || !node.isPersistedAsUsed || !nodeHealth.isSchedulable(node, nowMs)) continue;
+      const free = { ...clusterState.computeFreeResources(node) };
       for (const { state, job, resources } of node.attempts.values())
         if (state !== 'exited' && job && job.rank !== 'prod') addResources(free, resources, 1);
       const { type, zone, spot } = node;
@@ -71,7 +71,7 @@
 
   private addNodeCapacity(node: Node, nowMs: number, incoming: IncomingCapacity[]): void {
     const { nodeHealth } = this.dependencies;
-    if (node.terminating || nodeHealth.isBootOverdue(node, nowMs)) return;
+    if (node.isTerminating || nodeHealth.isBootOverdue(node, nowMs)) return;
     const { type, zone, spot, capacity } = node;
     if (isRegistering(node)) {
       incoming.push({ type, zone, spot, free: capacity, readyInS: 1, isOccupied: false });
@@ -95,5 +95,5 @@
 
 /** Whether the node has sent heartbeats and will be given tasks once it is persisted and reconciled. */
 function isRegistering(node: Node): boolean {
-  return node.firstContactMs > -Infinity && (!node.persisted || !node.reconciled);
+  return node.firstContactMs > -Infinity && (!node.isPersistedAsUsed || !node.isReconciled);
 }
--- a/src/cluster/attempt.ts
+++ b/src/cluster/attempt.ts
@@ -43,7 +43,7 @@
   /** Sequence number of the heartbeat whose response carried the start command. 0 if no start command was sent. */
   readonly startSentSequence: WireInt;
   /** Steady time in ms at which the start command was sent. -Infinity if none was sent. */
-  readonly sentMs: number;
+  readonly startSentMs: number;
   /** Steady time in ms at which the attempt was first seen running. Until then, the time at which it was planned. */
   readonly startedMs: number;
   /** The request to stop the attempt. Undefined if the attempt should keep running. */
@@ -86,7 +86,7 @@
   readonly resources: Resources;
   state: AttemptState;
   startSentSequence: WireInt = 0;
-  sentMs = -Infinity;
+  startSentMs = -Infinity;
   startedMs: number;
   stopRequest: { readonly gracePeriodS: number } | undefined = undefined;
   exitCause: ExitCause | undefined = undefined;
@@ -106,7 +106,7 @@
   markStartSent(sequence: WireInt, nowMs: number): void {
     this.state = 'sent';
     this.startSentSequence = sequence;
-    this.sentMs = nowMs;
+    this.startSentMs = nowMs;
   }
 
   returnToPlanned(): void {
@@ -142,12 +142,12 @@
 }
 
 /** Returns the key of an attempt among the attempts of its node. */
-export function attemptKey(jobUid: string, taskIndex: number, number: WireInt): string {
+export function formatAttemptKey(jobUid: string, taskIndex: number, number: WireInt): string {
   return `${jobUid}/${taskIndex}#${number}`;
 }
 
 /** Returns the name of the attempt's task, as it appears in commands, in logs and to users. */
-export function taskName({ jobUid, taskIndex }: Pick<Attempt, 'jobUid' | 'taskIndex'>): string {
+export function formatTaskName({ jobUid, taskIndex }: Pick<Attempt, 'jobUid' | 'taskIndex'>): string {
   return `${jobUid}/${taskIndex}`;
 }
 
--- a/src/cluster/cluster-state.ts
+++ b/src/cluster/cluster-state.ts
@@ -15,16 +15,16 @@
   type Resources,
 } from './resources.js';
 
-export { attemptKey, taskName, type Attempt, type Job } from './attempt.js';
+export { formatAttemptKey, formatTaskName, type Attempt, type Job } from './attempt.js';
 export type { Node, NodeDescription } from './node.js';
 export type { MutableResources, Resources } from './resources.js';
 
 /** Is notified of each end of an attempt, after the cluster state has changed. */
 export interface AttemptListener {
   /** The worker has reported that the attempt exited. */
-  exited(attempt: Attempt, cause: ExitCause): void;
+  onExited(attempt: Attempt, cause: ExitCause): void;
   /** The attempt has certainly ended without a reported exit: it was lost, or withdrawn before it was started. */
-  released(attempt: Attempt): void;
+  onReleased(attempt: Attempt): void;
 }
 
 /** A task start that the scheduler has decided on. */
@@ -61,7 +61,7 @@
   }
 
   /** Number of nodes in each zone that has nodes. */
-  get nodesPerZone(): ReadonlyMap<string, number> {
+  get nodeCountByZone(): ReadonlyMap<string, number> {
     return this.nodeCountsByZone;
   }
 
@@ -128,7 +128,7 @@
   }
 
   /** Withdraws an attempt whose start command was certainly not sent. */
-  withdrawPlanned(attempt: Attempt): void {
+  withdrawPlannedAttempt(attempt: Attempt): void {
     this.removeAttempt(attempt);
   }
 
@@ -139,7 +139,7 @@
   exitAttempt(attempt: Attempt, cause: ExitCause): void {
     attempt.recordExit(cause);
     this.deallocate(attempt);
-    this.listener.exited(attempt, cause);
+    this.listener.onExited(attempt, cause);
   }
 
   /** Removes an attempt that has certainly ended. It counts as released unless it had exited. */
@@ -147,7 +147,7 @@
     attempt.node.removeAttempt(attempt);
     if (attempt.state === 'exited') return;
     this.deallocate(attempt);
-    this.listener.released(attempt);
+    this.listener.onReleased(attempt);
   }
 
   /** Removes all attempts on the node, because all of them have certainly ended. */
@@ -175,12 +175,12 @@
   }
 
   /** Returns the free resources of the node, in a new object that the caller may change. */
-  freeResources(node: Node): MutableResources {
+  computeFreeResources(node: Node): MutableResources {
     return subtractResources(node.capacity, node.allocated);
   }
 
   /** Returns the resources that the attempts of the team's jobs take. */
-  usage(team: string): Resources {
+  getTeamUsage(team: string): Resources {
     return this.usageByTeam.get(team) ?? NO_RESOURCES;
   }
 
--- a/src/cluster/heartbeat-reconciler.ts
+++ b/src/cluster/heartbeat-reconciler.ts
@@ -2,13 +2,13 @@
  * Reconciles the attempts of the cluster state, which the leader decided, with the tasks that workers actually list.
  */
 import type { Heartbeat, TaskStatus } from './worker-messages.js';
-import { attemptKey, type Attempt, type Job } from './attempt.js';
+import { formatAttemptKey, type Attempt, type Job } from './attempt.js';
 import type { ClusterState } from './cluster-state.js';
 import {
   classifyUnlistedAttempt,
   hasExpiredDespiteResponse,
   isNewerHeartbeat,
-  leaseExpiryMs,
+  computeLeaseExpiryMs,
   type HeartbeatSource,
 } from './lease-rules.js';
 import type { Node } from './node.js';
@@ -56,7 +56,7 @@
   }
 
   private extendLease(node: Node, nowMs: number): void {
-    node.extendLease(leaseExpiryMs(nowMs, this.dependencies.leaseS));
+    node.extendLease(computeLeaseExpiryMs(nowMs, this.dependencies.leaseS));
   }
 
   /** Ends all attempts of the previous incarnation if the heartbeat belongs to a newer one. */
@@ -84,7 +84,7 @@
     const attempt = node.attempts.get(key) ?? this.addListedAttempt(node, task, nowMs);
     if (attempt.state === 'exited') return key;
     if (task.state === 'exited') {
-      this.dependencies.clusterState.exitAttempt(attempt, task.cause ?? 'stopped');
+      this.dependencies.clusterState.exitAttempt(attempt, task.exitCause ?? 'stopped');
       return key;
     }
     if (task.state === 'running' && attempt.state !== 'running' && attempt.job) {
@@ -98,9 +98,9 @@
   /** Adds an attempt of an earlier term, or one that kept running after it was released. */
   private addListedAttempt(node: Node, task: TaskStatus, nowMs: number): Attempt {
     const { clusterState, findJob } = this.dependencies;
-    const job = findJob(task.job);
+    const job = findJob(task.jobUid);
     const attempt = clusterState.addListedAttempt(
-      { job, jobUid: task.job, taskIndex: task.taskIndex, number: task.attempt, node },
+      { job, jobUid: task.jobUid, taskIndex: task.taskIndex, number: task.attemptNumber, node },
       nowMs,
     );
     const isWanted =
@@ -164,5 +164,5 @@
 }
 
 function getAttemptKey(task: TaskStatus): string {
-  return attemptKey(task.job, task.taskIndex, task.attempt);
+  return formatAttemptKey(task.jobUid, task.taskIndex, task.attemptNumber);
 }
--- a/src/cluster/lease-rules.ts
+++ b/src/cluster/lease-rules.ts
@@ -9,7 +9,7 @@
  * Returns the leader's steady time in ms at which a lease that was extended by a response at `responseMs` has
  * certainly expired on the worker.
  */
-export function leaseExpiryMs(responseMs: number, leaseS: number): number {
+export function computeLeaseExpiryMs(responseMs: number, leaseS: number): number {
   // The worker's lease starts when it sends the heartbeat, which is before the response. Its clock may be slower.
   return responseMs + leaseS * 1000 * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_EXPIRY_MARGIN_MS;
 }
@@ -31,9 +31,9 @@
 /** What the leader knows about the node that sent a heartbeat. */
 export interface KnownNode {
   /** Whether the node was deleted recently. */
-  readonly deleted: boolean;
+  readonly isDeleted: boolean;
   /** Whether an earlier heartbeat of the node showed the fencing token of this term. */
-  readonly reconciled: boolean;
+  readonly isReconciled: boolean;
 }
 
 /**
@@ -54,9 +54,9 @@
   termFencingToken: number,
   node: KnownNode,
 ): HeartbeatFreshness {
-  if (node.deleted || fencingToken > termFencingToken) return 'stale';
+  if (node.isDeleted || fencingToken > termFencingToken) return 'stale';
   if (fencingToken === termFencingToken) return 'current';
-  return node.reconciled ? 'stale' : 'firstContact';
+  return node.isReconciled ? 'stale' : 'firstContact';
 }
 
 /** A heartbeat that may belong to a new incarnation, and what is known of the incarnation before it. */
--- a/src/cluster/node-health.ts
+++ b/src/cluster/node-health.ts
@@ -78,9 +78,9 @@
   isSchedulable(node: Node, nowMs: number): boolean {
     return (
       node.lastHeartbeatMs > nowMs - UNSCHEDULABLE_AFTER_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs &&
-      node.reconciled &&
+      node.isReconciled &&
       node.unacknowledgedResponses < MAX_UNACKNOWLEDGED_RESPONSES &&
-      !node.terminating &&
+      !node.isTerminating &&
       node.interruptionMs === Infinity &&
       !this.isQuarantined(node)
     );
@@ -112,7 +112,7 @@
 
   /** Whether the node has sent no heartbeat in this term and, according to the stored records, has never been used. */
   isBooting(node: Node): boolean {
-    return node.lastHeartbeatMs === -Infinity && !node.persisted;
+    return node.lastHeartbeatMs === -Infinity && !node.isPersistedAsUsed;
   }
 
   /** Whether the node has been booting for so long that it will probably never send a heartbeat. */
--- a/src/cluster/node-records.ts
+++ b/src/cluster/node-records.ts
@@ -80,10 +80,10 @@
           { name, address: address ?? '', type, zone, spot, capacity },
           nowMs,
         );
-        if (address !== undefined) node.markPersisted();
-        group.add(node, node.persisted);
+        if (address !== undefined) node.markPersistedAsUsed();
+        group.add(node, node.isPersistedAsUsed);
         this.groupByNode.set(node, group);
-        isUsedByNode.set(node, node.persisted);
+        isUsedByNode.set(node, node.isPersistedAsUsed);
       }
     }
     return isUsedByNode;
@@ -140,7 +140,7 @@
   /** Applies the result of a write. A group whose write was not applied is written again. */
   handleWriteResult({ group, usedNodes, isApplied }: NodeGroupWriteResult): void {
     group.endWrite();
-    if (isApplied) for (const node of usedNodes) node.markPersisted();
+    if (isApplied) for (const node of usedNodes) node.markPersistedAsUsed();
     else this.changedGroups.add(group);
   }
 
--- a/src/cluster/node.ts
+++ b/src/cluster/node.ts
@@ -5,7 +5,7 @@
 import { MAX_UNACKNOWLEDGED_RESPONSES } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
 import type { Heartbeat } from './worker-messages.js';
-import { attemptKey, type Attempt } from './attempt.js';
+import { formatAttemptKey, type Attempt } from './attempt.js';
 import { addResources, NO_RESOURCES, type Resources } from './resources.js';
 
 /** What is known about a node before its worker sends a heartbeat. */
@@ -30,7 +30,7 @@
   readonly relayedBy: string;
   /** Resources that the attempts on the node take, including attempts that may still be started. */
   readonly allocated: Resources;
-  /** All attempts that are or may be on the node, by `attemptKey`, in the order in which they became known. */
+  /** All attempts that are or may be on the node, by `formatAttemptKey`, in the order in which they became known. */
   readonly attempts: ReadonlyMap<string, Attempt>;
   /** The worker's incarnation, which grows each time the worker restarts or loses its lease. 0 if none was seen. */
   readonly incarnation: WireInt;
@@ -49,9 +49,9 @@
   /** Incarnations up to this one have certainly ended. */
   readonly fencedIncarnation: WireInt;
   /** Whether a heartbeat showed this term's fencing token, so that the list of attempts is complete. */
-  readonly reconciled: boolean;
+  readonly isReconciled: boolean;
   /** Whether the state store marks the node as possibly holding tasks. It has to before the first start command. */
-  readonly persisted: boolean;
+  readonly isPersistedAsUsed: boolean;
   /** When the node was launched, as far as this is known. */
   readonly launchedMs: number;
   /** When the cloud's last instance list that contains the node was requested. -Infinity if none contains it. */
@@ -61,7 +61,7 @@
   /** Since when the node has had no task. Infinity while it has one. */
   readonly idleSinceMs: number;
   /** Whether the termination of the node was requested. No new tasks are placed on it then. */
-  readonly terminating: boolean;
+  readonly isTerminating: boolean;
   /** Images that are probably in the node's cache, with their sizes in GB, the least recently used one first. */
   readonly cachedImages: ReadonlyMap<string, number>;
   /** Uids of the jobs of which a task failed on the node. */
@@ -97,7 +97,7 @@
   /** Records that the list of attempts is complete from now on. */
   markReconciled(): void;
   /** Records that the node is marked in the state store as possibly holding tasks. */
-  markPersisted(): void;
+  markPersistedAsUsed(): void;
   /** Records that the termination of the node was requested. */
   markTerminating(): void;
   /** Records that the node has a task or is about to get one. */
@@ -145,13 +145,13 @@
   unacknowledgedResponses = 0;
   leaseExpiryMs = -Infinity;
   fencedIncarnation: WireInt = 0;
-  reconciled = false;
-  persisted = false;
+  isReconciled = false;
+  isPersistedAsUsed = false;
   launchedMs: number;
   lastListedMs = -Infinity;
   interruptionMs = Infinity;
   idleSinceMs: number;
-  terminating = false;
+  isTerminating = false;
   readonly cachedImages = new Map<string, number>();
   readonly failedJobs = new Set<string>();
 
@@ -224,15 +224,15 @@
   }
 
   markReconciled(): void {
-    this.reconciled = true;
+    this.isReconciled = true;
   }
 
-  markPersisted(): void {
-    this.persisted = true;
+  markPersistedAsUsed(): void {
+    this.isPersistedAsUsed = true;
   }
 
   markTerminating(): void {
-    this.terminating = true;
+    this.isTerminating = true;
   }
 
   markBusy(): void {
@@ -282,5 +282,5 @@
 }
 
 function getAttemptKey({ jobUid, taskIndex, number }: Attempt): string {
-  return attemptKey(jobUid, taskIndex, number);
+  return formatAttemptKey(jobUid, taskIndex, number);
 }
--- a/src/cluster/pending-commands.ts
+++ b/src/cluster/pending-commands.ts
@@ -3,7 +3,7 @@
  * command as sent.
  */
 import type { WorkerCommand } from './worker-messages.js';
-import { taskName, type Attempt } from './attempt.js';
+import { formatTaskName, type Attempt } from './attempt.js';
 import type { Node } from './node.js';
 
 /** A command and the attempt that it concerns. */
@@ -13,7 +13,7 @@
 }
 
 /** Yields the commands that the node's worker should get now. The attempts that have been known longest come first. */
-export function* pendingCommands(
+export function* generatePendingCommands(
   node: Node,
   mayStart: (attempt: Attempt) => boolean,
 ): Iterable<PendingCommand> {
@@ -40,15 +40,17 @@
   mayStart: (attempt: Attempt) => boolean,
 ): WorkerCommand | undefined {
   const { state, stopRequest, number } = attempt;
-  const task = taskName(attempt);
+  const taskName = formatTaskName(attempt);
   if (state === 'exited')
-    return mayBeAcknowledged(attempt) ? { kind: 'acknowledge', task, attempt: number } : undefined;
+    return mayBeAcknowledged(attempt) ? { kind: 'acknowledge', taskName, attemptNumber: number } : undefined;
   if (stopRequest) {
     // An attempt whose start command was certainly never sent needs no stop command.
     if (state === 'planned' && attempt.directStart === 'none') return undefined;
-    return { kind: 'stop', task, attempt: number, gracePeriodS: stopRequest.gracePeriodS };
+    return { kind: 'stop', taskName, attemptNumber: number, gracePeriodS: stopRequest.gracePeriodS };
   }
-  return state === 'planned' && mayStart(attempt) ? { kind: 'start', task, attempt: number } : undefined;
+  return state === 'planned' && mayStart(attempt)
+    ? { kind: 'start', taskName, attemptNumber: number }
+    : undefined;
 }
 
 /** Whether the worker may forget an exited attempt. */
--- a/src/cluster/worker-messages.ts
+++ b/src/cluster/worker-messages.ts
@@ -27,13 +27,13 @@
 /** One attempt of a task as its worker reports it. */
 export interface TaskStatus {
   /** Uid of the job. */
-  readonly job: string;
+  readonly jobUid: string;
   /** Index of the task within its job, starting at 0. */
   readonly taskIndex: number;
-  readonly attempt: WireInt;
+  readonly attemptNumber: WireInt;
   readonly state: TaskState;
   /** Why the task exited. Undefined unless the task has exited and its worker reports the cause. */
-  readonly cause?: ExitCause;
+  readonly exitCause?: ExitCause;
 }
 
 /**
@@ -42,7 +42,7 @@
  */
 export interface Heartbeat {
   /** Name of the worker's node. */
-  readonly node: string;
+  readonly nodeName: string;
   /** `host:port` at which the worker accepts commands. */
   readonly address: string;
   /** Instance type of the node. */
@@ -72,8 +72,8 @@
 
 interface TaskCommand {
   /** `<job uid>/<task index>`. */
-  readonly task: string;
-  readonly attempt: WireInt;
+  readonly taskName: string;
+  readonly attemptNumber: WireInt;
 }
 
 /** Starts the attempt. It has no effect if the worker already holds the attempt. */
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -144,8 +144,8 @@
       replica: this.replica,
       transport: peers,
       callbacks: {
-        onElected: (term) => void this.leadership.begin(term),
-        onLeadershipLost: () => this.leadership.end(),
+        onElected: (term) => void this.leadership.beginTerm(term),
+        onLeadershipLost: () => this.leadership.endTerm(),
       },
       clock,
       random,
@@ -187,7 +187,7 @@
       jobDependencies: this.jobDependencies,
       isStateStoreAvailable: () => !this.storeClient.isFailing,
       replica: this.replica,
-      batcher: this.batcher,
+      transactionBatcher: this.batcher,
       httpClient,
       workerHttpClient,
       clock,
@@ -230,7 +230,7 @@
       batcher: this.batcher,
       clock,
       log,
-      runningTaskCount: (uid) => this.runningTaskCounts.countOf(uid),
+      runningTaskCount: (uid) => this.runningTaskCounts.getCount(uid),
       isStoreAvailable: () => this.storeClient.isServed,
       isHealthy: () => this.election.view.isHealthy,
       isShortOfMemory: () => this.memoryGuard.isUnderPressure,
@@ -260,7 +260,7 @@
       peers,
       clock,
       leader: () => this.leadership.leader,
-      redirector: () => this.leadership.redirector,
+      redirector: () => this.leadership.relayRedirector,
       leaseRenewalProxy: this.leaseRenewalProxy,
       relay: this.heartbeatRelay,
     });
@@ -272,7 +272,7 @@
       peers: settings.peers,
       transport: peers,
       clock,
-      leader: () => this.leadership.leader,
+      getLeader: () => this.leadership.leader,
     });
   }
 }
--- a/src/leader/cluster-components.ts
+++ b/src/leader/cluster-components.ts
@@ -53,7 +53,7 @@
     const { replica, log } = dependencies;
     this.termStartMs = this.nowMs();
     this.clusterState = this.createClusterState();
-    this.commit = createCommitInTerm(dependencies.term, dependencies.batcher);
+    this.commit = createCommitInTerm(dependencies.term, dependencies.transactionBatcher);
     this.jobStore = this.createJobStore();
     this.instanceCatalog = new InstanceCatalog({ replica, commit: this.commit, log });
     this.commandDispatcher = this.createCommandDispatcher(handleCommandResponse);
@@ -71,8 +71,8 @@
 
   private createClusterState(): ClusterState {
     return new ClusterState({
-      exited: (attempt, cause) => this.taskLifecycle.handleExited(attempt, cause),
-      released: (attempt) => this.taskLifecycle.handleReleased(attempt),
+      onExited: (attempt, cause) => this.taskLifecycle.handleExited(attempt, cause),
+      onReleased: (attempt) => this.taskLifecycle.handleReleased(attempt),
     });
   }
 
--- a/src/leader/fleet-reconciler.ts
+++ b/src/leader/fleet-reconciler.ts
@@ -132,7 +132,7 @@
   }
 
   private terminateNode(node: Node, reason: TerminationReason): void {
-    if (node.terminating || !this.dependencies.term.authority.isValid(this.dependencies.nowMs())) return;
+    if (node.isTerminating || !this.dependencies.term.authority.isValid(this.dependencies.nowMs())) return;
     node.markTerminating();
     this.dependencies.log.info({ node: node.name, reason }, 'node termination requested');
     if (node.spot && reason !== 'idle' && node.lastHeartbeatMs > -Infinity)
@@ -151,7 +151,7 @@
       if (nodeHealth.isSchedulable(node, nowMs)) continue;
       for (const attempt of [...node.attempts.values()])
         if (attempt.state === 'planned' && attempt.directStart === 'none')
-          clusterState.withdrawPlanned(attempt);
+          clusterState.withdrawPlannedAttempt(attempt);
       this.drainNode(node, nowMs);
     }
   }
@@ -196,7 +196,7 @@
   /** Terminates nodes that are idle, unreachable or never finished booting. */
   terminateUnneededNodes(nowMs: number): void {
     for (const node of this.dependencies.clusterState.nodes.values()) {
-      if (node.terminating) continue;
+      if (node.isTerminating) continue;
       const reason = this.findTerminationReason(node, nowMs);
       if (reason) this.terminateNode(node, reason);
     }
--- a/src/leader/leader-dependencies.ts
+++ b/src/leader/leader-dependencies.ts
@@ -20,7 +20,7 @@
   /** Whether the state store responded to the last call. */
   readonly isStateStoreAvailable: () => boolean;
   readonly replica: StateReplica;
-  readonly batcher: TransactionBatcher;
+  readonly transactionBatcher: TransactionBatcher;
   /** Client for calls to the cloud. */
   readonly httpClient: HttpCaller;
   readonly workerHttpClient: HttpCaller;
--- a/src/leader/leadership.ts
+++ b/src/leader/leadership.ts
@@ -25,7 +25,7 @@
   }
 
   /** Redirects heartbeats from the leader to other controllers. Undefined while there is no leader here. */
-  get redirector(): RelayRedirector | undefined {
+  get relayRedirector(): RelayRedirector | undefined {
     return this.currentRedirector;
   }
 
@@ -33,7 +33,7 @@
    * Builds the leader once the replica holds everything that earlier terms wrote. No leader is built if the term ends
    * before that.
    */
-  async begin(term: LeadershipTerm): Promise<void> {
+  async beginTerm(term: LeadershipTerm): Promise<void> {
     const { isCurrentTerm, ...leaderDependencies } = this.dependencies;
     const { replica, clock } = this.dependencies;
     for (;;) {
@@ -51,7 +51,7 @@
   }
 
   /** Stops and discards the leader. */
-  end(): void {
+  endTerm(): void {
     this.currentLeader?.stop();
     this.currentLeader = undefined;
     this.currentRedirector = undefined;
--- a/src/leader/running-task-counts.ts
+++ b/src/leader/running-task-counts.ts
@@ -14,7 +14,7 @@
   readonly transport: PeerTransport;
   readonly clock: Clock;
   /** Returns the leader, or undefined while this controller does not lead. */
-  readonly leader: () => Pick<Leader, 'countRunningTasks'> | undefined;
+  readonly getLeader: () => Pick<Leader, 'countRunningTasks'> | undefined;
 }
 
 /** Holds the latest counts that this controller knows. They may be some seconds old and are for display only. */
@@ -23,12 +23,12 @@
 
   constructor(private readonly dependencies: RunningTaskCountsDependencies) {
     dependencies.transport.onMessage((_member, message) => {
-      if (message.kind === 'counts' && !dependencies.leader()) this.countsByJob = message.running;
+      if (message.kind === 'counts' && !dependencies.getLeader()) this.countsByJob = message.running;
     });
   }
 
   /** Returns the latest known number of running tasks of a job. */
-  countOf(jobUid: string): number {
+  getCount(jobUid: string): number {
     return this.countsByJob[jobUid] ?? 0;
   }
 
@@ -39,7 +39,7 @@
   }
 
   private broadcast(): void {
-    const leader = this.dependencies.leader();
+    const leader = this.dependencies.getLeader();
     if (!leader) return;
     this.countsByJob = leader.countRunningTasks();
     for (const { member } of this.dependencies.peers)
--- a/src/leader/spot-usage-recorder.ts
+++ b/src/leader/spot-usage-recorder.ts
@@ -30,7 +30,7 @@
   record(nowMs: number): void {
     const { clusterState, spotInterruptionRate } = this.dependencies;
     let spotNodesInUse = 0;
-    for (const node of clusterState.nodes.values()) if (node.spot && node.reconciled) spotNodesInUse++;
+    for (const node of clusterState.nodes.values()) if (node.spot && node.isReconciled) spotNodesInUse++;
     spotInterruptionRate.recordUsage(spotNodesInUse, nowMs);
     if (nowMs - this.lastWriteMs < SPOT_INTERRUPTIONS_WRITE_INTERVAL_MS) return;
     this.lastWriteMs = nowMs;
--- a/src/leader/task-lifecycle.ts
+++ b/src/leader/task-lifecycle.ts
@@ -43,7 +43,7 @@
   mayStart({ job, node }: Attempt): boolean {
     const { jobDependencies, cancellationWatermark, reconciliation } = this.dependencies;
     if (!job || !job.isOpen || !job.isStartPersisted) return false;
-    if (!node.persisted || !node.reconciled || node.terminating) return false;
+    if (!node.isPersistedAsUsed || !node.isReconciled || node.isTerminating) return false;
     if (job.hasDependencies && jobDependencies.getStatus(job.uid) !== 'ready') return false;
     const source = this.dependencies.isStateStoreAvailable() ? 'stateStore' : 'peers';
     if (!cancellationWatermark.mayStart(this.dependencies.nowMs(), source)) return false;
--- a/src/leader/term-reconciliation.ts
+++ b/src/leader/term-reconciliation.ts
@@ -4,7 +4,7 @@
  */
 import type { Logger } from 'pino';
 import type { ClusterState, Node, Resources } from '../cluster/cluster-state.js';
-import { leaseExpiryMs } from '../cluster/lease-rules.js';
+import { computeLeaseExpiryMs } from '../cluster/lease-rules.js';
 import type { NodeRecords } from '../cluster/node-records.js';
 import { LEASE_PROXY_READ_VALIDITY_MS, RELAY_RESPONSE_VALIDITY_MS } from '../constants.js';
 import { DELEGATED_LEASES_PREFIX, decodeDelegatedLeases } from '../state/records.js';
@@ -69,7 +69,7 @@
       // The previous leader answered the node for the last time before this term began. A proxy may have answered it
       // for a moment longer, and a response may still have been in transit through a relay.
       const lastResponseMs = nowMs + Math.max(LEASE_PROXY_READ_VALIDITY_MS, RELAY_RESPONSE_VALIDITY_MS);
-      node.extendLease(leaseExpiryMs(lastResponseMs, this.dependencies.leaseS));
+      node.extendLease(computeLeaseExpiryMs(lastResponseMs, this.dependencies.leaseS));
       this.unreconciledNodes.add(node);
     }
     for (const { key, modRevision } of [...this.dependencies.replica.listPrefix(DELEGATED_LEASES_PREFIX)]) {
@@ -110,7 +110,7 @@
       const node = this.dependencies.clusterState.nodes.get(name);
       // The proxy may have renewed the lease of this node until just now.
       if (node && !this.delegatedNodeNames.has(name))
-        node.extendLease(leaseExpiryMs(this.dependencies.nowMs(), this.dependencies.leaseS));
+        node.extendLease(computeLeaseExpiryMs(this.dependencies.nowMs(), this.dependencies.leaseS));
     }
   }
 
--- a/src/scheduler/preemptor.ts
+++ b/src/scheduler/preemptor.ts
@@ -1,6 +1,12 @@
 /** Stops running tasks of lower rank, or of teams that exceed their guarantee, for waiting jobs. */
 import type { Logger } from 'pino';
-import { taskName, type Attempt, type ClusterState, type Job, type Node } from '../cluster/cluster-state.js';
+import {
+  formatTaskName,
+  type Attempt,
+  type ClusterState,
+  type Job,
+  type Node,
+} from '../cluster/cluster-state.js';
 import { addResources } from '../cluster/resources.js';
 import {
   MISSED_DEADLINE_PENALTY_S,
@@ -74,7 +80,7 @@
 
   /** Whether the job may use a zone that has nodes and is not known to be exhausted. */
   private hasZoneToSearch(job: Job, scope: PreemptionScope): boolean {
-    for (const zone of this.dependencies.clusterState.nodesPerZone.keys())
+    for (const zone of this.dependencies.clusterState.nodeCountByZone.keys())
       if (allowsZone(job.spec, job.allocationsPerZone, zone) && !scope.isZoneExhausted(zone, job.spec))
         return true;
     return false;
@@ -124,7 +130,7 @@
     // The capacity is reserved for the waiting task during this search. The next search counts it as free again.
     addResources(nodeCapacity.free, job.spec, -1);
     for (const victim of victims) {
-      this.dependencies.log.info({ task: taskName(victim), for: job.uid }, 'task preempted');
+      this.dependencies.log.info({ task: formatTaskName(victim), for: job.uid }, 'task preempted');
       this.dependencies.stopTask(victim, victim.job.spec.checkpointS);
     }
   }
--- a/src/scheduler/quota-tracker.ts
+++ b/src/scheduler/quota-tracker.ts
@@ -45,7 +45,7 @@
     const { team } = job.spec;
     const quota = this.dependencies.quotas.get(team);
     if (!quota) return 0;
-    const used = { ...this.dependencies.clusterState.usage(team) };
+    const used = { ...this.dependencies.clusterState.getTeamUsage(team) };
     if (plannedUsage) addResources(used, plannedUsage, 1);
     const unreconciled = this.unreconciledUsage.get(team);
     if (unreconciled) addResources(used, unreconciled, 1);
@@ -56,6 +56,6 @@
   exceedsGuarantee({ spec }: Job): boolean {
     const quota = this.dependencies.quotas.get(spec.team);
     if (!quota) return false;
-    return this.dependencies.clusterState.usage(spec.team).cpus - spec.cpus >= quota.guaranteedCpus;
+    return this.dependencies.clusterState.getTeamUsage(spec.team).cpus - spec.cpus >= quota.guaranteedCpus;
   }
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -118,8 +118,8 @@
   private findFreeCapacity(nodes: Iterable<Node>, nowMs: number): NodeCapacity[] {
     const capacities: NodeCapacity[] = [];
     for (const node of nodes) {
-      if (node.persisted && this.dependencies.nodeHealth.isSchedulable(node, nowMs))
-        capacities.push({ node, free: this.dependencies.clusterState.freeResources(node) });
+      if (node.isPersistedAsUsed && this.dependencies.nodeHealth.isSchedulable(node, nowMs))
+        capacities.push({ node, free: this.dependencies.clusterState.computeFreeResources(node) });
     }
     return capacities;
   }
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -35,13 +35,13 @@
   if (slashIndex <= 0 || !Number.isSafeInteger(taskIndex) || taskIndex < 0) return undefined;
   if (typeof value.phase !== 'string') return undefined;
   return {
-    job: value.piece.slice(0, slashIndex),
+    jobUid: value.piece.slice(0, slashIndex),
     taskIndex,
-    attempt: value.try,
+    attemptNumber: value.try,
     // An unknown state counts as that of a task which is on the node but does not run yet. If the whole heartbeat were
     // rejected instead, the worker's lease would expire, and every task of the node would end.
     state: TASK_STATES.get(value.phase) ?? 'fetching',
-    cause: typeof value.cause === 'string' ? (EXIT_CAUSES.get(value.cause) ?? 'unknown') : undefined,
+    exitCause: typeof value.cause === 'string' ? (EXIT_CAUSES.get(value.cause) ?? 'unknown') : undefined,
   };
 }
 
@@ -65,7 +65,7 @@
   const tasks = decodeTasks(value.pieces);
   if (!tasks) return undefined;
   return {
-    node: hearth,
+    nodeName: hearth,
     address,
     type: build,
     zone: yard,
@@ -88,14 +88,14 @@
 }
 
 function encodeCommand(command: WorkerCommand): unknown {
-  const { task, attempt } = command;
+  const { taskName, attemptNumber } = command;
   switch (command.kind) {
     case 'start':
-      return { verb: 'run', piece: task, try: attempt };
+      return { verb: 'run', piece: taskName, try: attemptNumber };
     case 'stop':
-      return { verb: 'stop', piece: task, try: attempt, leewayS: command.gracePeriodS };
+      return { verb: 'stop', piece: taskName, try: attemptNumber, leewayS: command.gracePeriodS };
     case 'acknowledge':
-      return { verb: 'clear', piece: task, try: attempt };
+      return { verb: 'clear', piece: taskName, try: attemptNumber };
     default:
       return assertNever(command);
   }
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -5,13 +5,13 @@
 import type { Logger } from 'pino';
 import { assertNever } from '@pumicehinge/runtime';
 import {
-  attemptKey,
-  taskName,
+  formatAttemptKey,
+  formatTaskName,
   type Attempt,
   type ClusterState,
   type Node,
 } from '../cluster/cluster-state.js';
-import { needsCommands, pendingCommands, type PendingCommand } from '../cluster/pending-commands.js';
+import { needsCommands, generatePendingCommands, type PendingCommand } from '../cluster/pending-commands.js';
 import type { Heartbeat, WorkerCommand } from '../cluster/worker-messages.js';
 import {
   COMMAND_CALL_TIMEOUT_MS,
@@ -91,7 +91,7 @@
   stop(attempt: Attempt, gracePeriodS: number): void {
     if (attempt.state === 'exited') return;
     if (attempt.state === 'planned' && attempt.directStart === 'none') {
-      this.dependencies.clusterState.withdrawPlanned(attempt);
+      this.dependencies.clusterState.withdrawPlannedAttempt(attempt);
     } else if (!attempt.stopRequest || gracePeriodS < attempt.stopRequest.gracePeriodS) {
       attempt.requestStop(gracePeriodS);
       this.dependencies.clusterState.markAwaitingCommands(attempt.node);
@@ -110,7 +110,7 @@
    */
   prepareCommandsForHeartbeat(node: Node, sequence: WireInt, nowMs: number): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
-    for (const { command, attempt } of pendingCommands(node, this.dependencies.mayStart)) {
+    for (const { command, attempt } of generatePendingCommands(node, this.dependencies.mayStart)) {
       if (commands.length >= MAX_COMMANDS_PER_RESPONSE) break;
       if (command.kind === 'start') this.markSent(attempt, sequence, nowMs);
       commands.push(command);
@@ -150,10 +150,10 @@
       } else if (
         attempt.job &&
         !attempt.job.isOpen &&
-        nowMs - attempt.sentMs >= LOST_START_FENCING_DELAY_MS
+        nowMs - attempt.startSentMs >= LOST_START_FENCING_DELAY_MS
       ) {
         this.dependencies.log.info(
-          { task: taskName(attempt) },
+          { task: formatTaskName(attempt) },
           'term ended to fence a lost task start of an ended job',
         );
         return true;
@@ -163,7 +163,7 @@
   }
 
   private sendToNode(node: Node, nowMs: number): void {
-    if (this.nodesBeingCalled.has(node) || !node.reconciled || node.address === '') return;
+    if (this.nodesBeingCalled.has(node) || !node.isReconciled || node.address === '') return;
     if (!this.dependencies.term.authority.isValid(nowMs)) return;
     if (!needsCommands(node)) {
       this.dependencies.clusterState.clearAwaitingCommands(node);
@@ -197,7 +197,7 @@
   private prepareDirectCall(node: Node, nowMs: number): DirectCall {
     const commands: WorkerCommand[] = [];
     const attemptsToStart: Attempt[] = [];
-    for (const pendingCommand of pendingCommands(node, this.dependencies.mayStart)) {
+    for (const pendingCommand of generatePendingCommands(node, this.dependencies.mayStart)) {
       if (commands.length >= MAX_COMMANDS_PER_RESPONSE) break;
       if (!this.prepareDirectCommand(pendingCommand, nowMs)) continue;
       commands.push(pendingCommand.command);
@@ -239,7 +239,10 @@
 
   private markSent(attempt: Attempt, sequence: WireInt, nowMs: number): void {
     attempt.markStartSent(sequence, nowMs);
-    this.dependencies.log.debug({ task: taskName(attempt), node: attempt.node.name }, 'task start sent');
+    this.dependencies.log.debug(
+      { task: formatTaskName(attempt), node: attempt.node.name },
+      'task start sent',
+    );
   }
 
   private endDirectStart(attempt: Attempt, executionStatus: ExecutionStatus): void {
@@ -265,5 +268,5 @@
 /** Whether the node still holds resources for the attempt. */
 function isAllocated(attempt: Attempt): boolean {
   const { node, jobUid, taskIndex, number, state } = attempt;
-  return state !== 'exited' && node.attempts.get(attemptKey(jobUid, taskIndex, number)) === attempt;
+  return state !== 'exited' && node.attempts.get(formatAttemptKey(jobUid, taskIndex, number)) === attempt;
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -74,7 +74,7 @@
    */
   handle(received: ReceivedHeartbeat): void {
     const { heartbeat, respond, relayedBy } = received;
-    const knownNode = this.dependencies.clusterState.nodes.get(heartbeat.node);
+    const knownNode = this.dependencies.clusterState.nodes.get(heartbeat.nodeName);
     const freshness = this.classifyFreshness(heartbeat, knownNode);
     if (freshness === 'stale') return respond(NOT_ACCEPTED);
     knownNode?.recordRelay(relayedBy);
@@ -91,13 +91,13 @@
 
   private classifyFreshness(heartbeat: Heartbeat, knownNode: Node | undefined): HeartbeatFreshness {
     return classifyHeartbeat(heartbeat.fencingToken, this.dependencies.term.fencingToken, {
-      deleted: this.dependencies.wasDeleted(heartbeat.node),
-      reconciled: knownNode?.reconciled ?? false,
+      isDeleted: this.dependencies.wasDeleted(heartbeat.nodeName),
+      isReconciled: knownNode?.isReconciled ?? false,
     });
   }
 
   private addNode({ heartbeat, relayedBy }: ReceivedHeartbeat): Node {
-    const { node: name, address, type, zone, spot } = heartbeat;
+    const { nodeName: name, address, type, zone, spot } = heartbeat;
     const capacity = this.dependencies.capacityOf(type);
     const description = { name, address, type, zone, spot, capacity };
     const node = this.dependencies.clusterState.addNode(description, this.dependencies.nowMs());
@@ -135,7 +135,7 @@
       // the worker's tasks forever.
       if (nowMs - node.firstContactMs > FIRST_CONTACT_WINDOW_MS) return respond(NOT_ACCEPTED);
       node.recordAddress(heartbeat.address);
-      if (!node.persisted) nodeRecords.markUsed(node);
+      if (!node.isPersistedAsUsed) nodeRecords.markUsed(node);
       requestSchedulingCycle();
     }
     if (!this.mayRespond()) return respond(NOT_ACCEPTED);
@@ -150,14 +150,14 @@
 
   /** Records that all attempts on the node are known. The node may get further ones once its record is written. */
   private recordContact(node: Node): void {
-    if (!node.reconciled) {
+    if (!node.isReconciled) {
       node.markReconciled();
       this.dependencies.markReconciled(node);
       this.dependencies.requestSchedulingCycle();
     }
     if (node.attempts.size > 0) node.markBusy();
     else if (node.idleSinceMs === Infinity) node.markIdle(this.dependencies.nowMs());
-    if (!node.persisted) this.dependencies.nodeRecords.markUsed(node);
+    if (!node.isPersistedAsUsed) this.dependencies.nodeRecords.markUsed(node);
   }
 
   /**
--- a/src/workers/heartbeat-router.ts
+++ b/src/workers/heartbeat-router.ts
@@ -121,13 +121,13 @@
    * zone a relay is better than a busy leader. Successive heartbeats get different controllers, because the worker
    * may be unable to reach the one that was named before.
    */
-  private findBetterTarget({ zone, node, sequence }: Heartbeat): string | undefined {
+  private findBetterTarget({ zone, nodeName, sequence }: Heartbeat): string | undefined {
     const { leaderView, self, redirector, clock } = this.dependencies;
     const targets = leaderView.heartbeatTargets(zone);
     const shouldRedirect =
-      zone !== self.zone || redirector()?.tryRedirect(node, targets.length, clock.steadyMs()) === true;
+      zone !== self.zone || redirector()?.tryRedirect(nodeName, targets.length, clock.steadyMs()) === true;
     if (!shouldRedirect || targets.length === 0) return undefined;
-    return targets[(hashName(node) + Number(sequence)) % targets.length];
+    return targets[(hashName(nodeName) + Number(sequence)) % targets.length];
   }
 
   private handleRelayedHeartbeat(
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -163,7 +163,7 @@
     const { heartbeat, respond } = verified;
     const leader = this.knownLeader();
     if (!leader || !this.mayRenewLease(heartbeat, leader)) return respond(NOT_ENTITLED_RESPONSE);
-    if (this.delegatedTerms.get(heartbeat.node) === leader.term) return this.renewLease(verified);
+    if (this.delegatedTerms.get(heartbeat.nodeName) === leader.term) return this.renewLease(verified);
     this.awaitingDelegation.push({ heartbeat, respond });
     this.writeDelegation();
   }
@@ -171,7 +171,9 @@
   /** Whether the worker's lease may be renewed. A node that no leader has recorded has no task that needs a lease. */
   private mayRenewLease(heartbeat: Heartbeat, leader: KnownLeader): boolean {
     return (
-      this.shouldRenewLeases() && heartbeat.fencingToken <= leader.term && this.isNodeRecorded(heartbeat.node)
+      this.shouldRenewLeases() &&
+      heartbeat.fencingToken <= leader.term &&
+      this.isNodeRecorded(heartbeat.nodeName)
     );
   }
 
@@ -214,7 +216,7 @@
   ): Promise<CommitResult> {
     const { replica, batcher, member, log } = this.dependencies;
     const key = delegatedLeasesKey(member, `${term}-${++this.batchCount}`);
-    const nodes = batch.map(({ heartbeat }) => heartbeat.node);
+    const nodes = batch.map(({ heartbeat }) => heartbeat.nodeName);
     log.info({ nodes, term }, 'lease delegation during partition started');
     const conditions = [
       { key: LEADER_KEY, modRevision: revision },
@@ -228,7 +230,7 @@
     this.isWritingDelegation = false;
     for (const pending of batch) {
       if (isCommitted) {
-        this.delegatedTerms.set(pending.heartbeat.node, term);
+        this.delegatedTerms.set(pending.heartbeat.nodeName, term);
         // The write may have taken a long time, so the response relies on a new read of the state store.
         this.readStateFor(pending);
       } else {
@@ -239,7 +241,7 @@
   }
 
   private renewLease({ heartbeat, respond, readMs }: VerifiedHeartbeat): void {
-    const term = this.delegatedTerms.get(heartbeat.node);
+    const term = this.delegatedTerms.get(heartbeat.nodeName);
     // The tasks of a cancelled job must end in time even if the leader can't reach them.
     const commands = createStopCommandsForEndedJobs(heartbeat, this.dependencies.replica);
     // This is checked last, because what was read from the state store is valid only for a moment.
--- a/src/workers/stop-commands.ts
+++ b/src/workers/stop-commands.ts
@@ -16,11 +16,11 @@
     return phase !== undefined && phase !== 'open';
   };
   return heartbeat.tasks
-    .filter((task) => task.state !== 'exited' && isEnded(task.job))
+    .filter((task) => task.state !== 'exited' && isEnded(task.jobUid))
     .map((task) => ({
       kind: 'stop',
-      task: `${task.job}/${task.taskIndex}`,
-      attempt: task.attempt,
+      taskName: `${task.jobUid}/${task.taskIndex}`,
+      attemptNumber: task.attemptNumber,
       gracePeriodS: 0,
     }));
 }
--- a/test/cluster/heartbeat-reconciler.test.ts
+++ b/test/cluster/heartbeat-reconciler.test.ts
@@ -26,7 +26,7 @@
     0,
   );
   assert.deepEqual([...job.attemptByTask.keys()], [0, 1]);
-  assert.deepEqual(clusterState.usage('red'), { cpus: 4, accelerators: 0, memGb: 8 });
+  assert.deepEqual(clusterState.getTeamUsage('red'), { cpus: 4, accelerators: 0, memGb: 8 });
   assert.equal(reconciler.apply(node, createHeartbeat(1, 4), 'heartbeat', 10), false);
   assert.equal(job.attemptByTask.size, 2);
   assert.equal(
@@ -41,7 +41,7 @@
     reconciler.apply(node, createHeartbeat(2, 9, [createRunningTask(2, 9)]), 'heartbeat', 30),
     false,
   );
-  assert.equal(clusterState.usage('red').cpus, 0);
+  assert.equal(clusterState.getTeamUsage('red').cpus, 0);
 });
 
 test('a response to a command does not count as a heartbeat, because the worker may reach no controller', () => {
--- a/test/cluster/lease-rules.test.ts
+++ b/test/cluster/lease-rules.test.ts
@@ -5,7 +5,7 @@
   classifyUnlistedAttempt,
   hasExpiredDespiteResponse,
   isNewerHeartbeat,
-  leaseExpiryMs,
+  computeLeaseExpiryMs,
   type HeartbeatFreshness,
   type KnownNode,
   type UnlistedAttempt,
@@ -14,7 +14,7 @@
 import type { WireInt } from '../../src/wire/json.js';
 
 test('a lease has certainly expired only after its duration, the clock drift and a margin', () => {
-  assert.ok(leaseExpiryMs(1000, 10) > 1000 + 10_000 * 1.0005);
+  assert.ok(computeLeaseExpiryMs(1000, 10) > 1000 + 10_000 * 1.0005);
 });
 
 test('the message with the larger incarnation, then with the larger sequence number, is the newer one', () => {
@@ -66,9 +66,9 @@
 });
 
 test('only a heartbeat that shows the fencing token of the term proves that a response arrived', () => {
-  const reconciled: KnownNode = { deleted: false, reconciled: true };
-  const unreconciled: KnownNode = { deleted: false, reconciled: false };
-  const deleted: KnownNode = { deleted: true, reconciled: false };
+  const reconciled: KnownNode = { isDeleted: false, isReconciled: true };
+  const unreconciled: KnownNode = { isDeleted: false, isReconciled: false };
+  const deleted: KnownNode = { isDeleted: true, isReconciled: false };
   const cases: [fencingToken: WireInt, node: KnownNode, freshness: HeartbeatFreshness][] = [
     [7, reconciled, 'current'],
     [7, unreconciled, 'current'],
--- a/test/cluster/node-health.test.ts
+++ b/test/cluster/node-health.test.ts
@@ -71,7 +71,7 @@
       for (let i = 0; i < total; i++) {
         const node = clusterState.addNode({ name: `${controller}-${i}`, ...description }, 0);
         node.recordRelay(controller);
-        node.markPersisted();
+        node.markPersistedAsUsed();
         if (controller !== '') node.recordHeartbeat(i < silent ? 0 : Infinity);
       }
     const node = clusterState.nodes.get(`${relayedBy}-0`)!;
--- a/test/cluster/node-records.test.ts
+++ b/test/cluster/node-records.test.ts
@@ -29,8 +29,8 @@
     complete: (result: CommitResult) => void;
   }[] = [];
   const clusterState = new ClusterState({
-    exited: () => undefined,
-    released: () => undefined,
+    onExited: () => undefined,
+    onReleased: () => undefined,
   });
   const records = new NodeRecords({
     replica: {
--- a/test/cluster/pending-commands.test.ts
+++ b/test/cluster/pending-commands.test.ts
@@ -17,14 +17,14 @@
     0,
   );
   assert.equal(job.attemptByTask.get(0)!.number, 7);
-  assert.equal(clusterState.usage('red').cpus, 4);
-  const commands = listCommands(node).map(({ kind, attempt }) => `${kind} ${attempt}`);
+  assert.equal(clusterState.getTeamUsage('red').cpus, 4);
+  const commands = listCommands(node).map(({ kind, attemptNumber }) => `${kind} ${attemptNumber}`);
   assert.deepEqual(commands, ['stop 8']);
 });
 
 test('an exit is acknowledged only once the completion is stored', () => {
   const { job, reconciler, node, exits } = createClusterWithNode();
-  const completed: TaskStatus = { ...createRunningTask(0, 7), state: 'exited', cause: 'completed' };
+  const completed: TaskStatus = { ...createRunningTask(0, 7), state: 'exited', exitCause: 'completed' };
   reconciler.apply(node, createHeartbeat(1, 1, [completed]), 'heartbeat', 0);
   assert.deepEqual(exits, ['0 completed']);
   assert.deepEqual(listCommands(node), []);
--- a/test/election/cancellation-watermark.test.ts
+++ b/test/election/cancellation-watermark.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { leaseExpiryMs } from '../../src/cluster/lease-rules.js';
+import { computeLeaseExpiryMs } from '../../src/cluster/lease-rules.js';
 import {
   MAX_CLOCK_DRIFT_RATIO,
   LEASE_VOTE_DURATION_MS,
@@ -22,7 +22,7 @@
     // Worst case: an answer without the cancellation is sent at the last moment and delayed by a relay. The worker then runs
     // its tasks for a whole lease on a slow clock.
     const tasksEndedMs =
-      leaseExpiryMs(maxLagMs + RELAY_RESPONSE_VALIDITY_MS, leaseS) * (1 + MAX_CLOCK_DRIFT_RATIO);
+      computeLeaseExpiryMs(maxLagMs + RELAY_RESPONSE_VALIDITY_MS, leaseS) * (1 + MAX_CLOCK_DRIFT_RATIO);
     assert.ok(tasksEndedMs < cancelS * 1000, `${cancelS} ${leaseS}: ${tasksEndedMs}`);
     // If the settings leave no time, a leader that may not know a cancellation does not answer at all.
     assert.equal(maxLagMs > 0, cancelS > leaseS + 4, `${cancelS} ${leaseS}`);
--- a/test/golden/worker-wire.test.ts
+++ b/test/golden/worker-wire.test.ts
@@ -10,17 +10,17 @@
 
 const LARGE_INTEGER = 2n ** 63n + 1n;
 
-const START_COMMAND: WorkerCommand = { kind: 'start', task: 'job-000412/3', attempt: 12_582_913 };
+const START_COMMAND: WorkerCommand = { kind: 'start', taskName: 'job-000412/3', attemptNumber: 12_582_913 };
 const STOP_COMMAND: WorkerCommand = {
   kind: 'stop',
-  task: 'job-000412/4',
-  attempt: 12_582_914,
+  taskName: 'job-000412/4',
+  attemptNumber: 12_582_914,
   gracePeriodS: 30,
 };
 const ACKNOWLEDGE_COMMAND: WorkerCommand = {
   kind: 'acknowledge',
-  task: 'job-000412/5',
-  attempt: LARGE_INTEGER,
+  taskName: 'job-000412/5',
+  attemptNumber: LARGE_INTEGER,
 };
 
 /** The fencing token, the commands and, for a direct call, the incarnation of the worker that may execute them. */
@@ -49,7 +49,7 @@
   '"hearth":"vm-1","address":"10.1.0.1:9000","build":"g8","yard":"a","loaner":true,"tenure":2,"tick":17,"baton":12';
 
 const HEARTBEAT: Heartbeat = {
-  node: 'vm-1',
+  nodeName: 'vm-1',
   address: '10.1.0.1:9000',
   type: 'g8',
   zone: 'a',
@@ -62,19 +62,19 @@
 };
 
 const TASK_STATUS: TaskStatus = {
-  job: 'job-000412',
+  jobUid: 'job-000412',
   taskIndex: 3,
-  attempt: 7,
+  attemptNumber: 7,
   state: 'running',
-  cause: undefined,
+  exitCause: undefined,
 };
 
 const createHeartbeatText = (taskFields: string): string =>
   `{${COMMON_FIELDS},"pieces":[{"piece":"job-000412/3","try":7,${taskFields}}]}`;
 
-const createExitedHeartbeat = (cause: TaskStatus['cause']): Heartbeat => ({
+const createExitedHeartbeat = (cause: TaskStatus['exitCause']): Heartbeat => ({
   ...HEARTBEAT,
-  tasks: [{ ...TASK_STATUS, state: 'exited', cause }],
+  tasks: [{ ...TASK_STATUS, state: 'exited', exitCause: cause }],
 });
 
 /** Exit causes in the wire format, and as they are decoded. */
--- a/test/scheduler/node-scoring.test.ts
+++ b/test/scheduler/node-scoring.test.ts
@@ -6,13 +6,13 @@
 
 test('a job that avoids spot nodes gets on-demand nodes first, and any other job gets spot nodes first', () => {
   const clusterState = new ClusterState({
-    exited: () => undefined,
-    released: () => undefined,
+    onExited: () => undefined,
+    onReleased: () => undefined,
   });
   const createNodeCapacity = (name: string, spot: boolean) => {
     const capacity = { cpus: 4, accelerators: 0, memGb: 16 };
     const node = clusterState.addNode({ name, address: '', type: 'small', zone: 'a', spot, capacity }, 0);
-    return { node, free: clusterState.freeResources(node) };
+    return { node, free: clusterState.computeFreeResources(node) };
   };
   const candidates = [createNodeCapacity('spot', true), createNodeCapacity('on demand', false)];
   for (const [avoidsSpot, expectedFirstName] of [
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -419,15 +419,15 @@
   // Crashes several controllers, the leader among them.
   deployment.at(60, () => ['c0', 'c1', 'c2'].forEach((member) => deployment.crash(member, 3000)));
   let freeResourcesCalls = 0;
-  const originalFreeResources = ClusterState.prototype.freeResources;
-  ClusterState.prototype.freeResources = function (node) {
+  const originalFreeResources = ClusterState.prototype.computeFreeResources;
+  ClusterState.prototype.computeFreeResources = function (node) {
     freeResourcesCalls++;
     return originalFreeResources.call(this, node);
   };
   try {
     await deployment.clock.runUntil(170_000);
   } finally {
-    ClusterState.prototype.freeResources = originalFreeResources;
+    ClusterState.prototype.computeFreeResources = originalFreeResources;
   }
   deployment.rules.checkServed(70_000);
   assert.deepEqual(deployment.rules.broken, []);
--- a/test/support/cluster-fixture.ts
+++ b/test/support/cluster-fixture.ts
@@ -2,7 +2,7 @@
 import { ClusterState, type Attempt, type Node } from '../../src/cluster/cluster-state.js';
 import { HeartbeatReconciler } from '../../src/cluster/heartbeat-reconciler.js';
 import { NodeHealth, type NodeHealthDependencies } from '../../src/cluster/node-health.js';
-import { pendingCommands } from '../../src/cluster/pending-commands.js';
+import { generatePendingCommands } from '../../src/cluster/pending-commands.js';
 import type { Heartbeat, TaskStatus } from '../../src/cluster/worker-messages.js';
 import { Job } from '../../src/pipeline/job.js';
 import { jobSpec } from '../fixtures.js';
@@ -37,8 +37,8 @@
   const released: Attempt[] = [];
   const exits: string[] = [];
   const clusterState = new ClusterState({
-    exited: (attempt, cause) => exits.push(`${attempt.taskIndex} ${cause}`),
-    released: (attempt) => released.push(attempt),
+    onExited: (attempt, cause) => exits.push(`${attempt.taskIndex} ${cause}`),
+    onReleased: (attempt) => released.push(attempt),
   });
   const reconciler = new HeartbeatReconciler({
     clusterState,
@@ -60,7 +60,7 @@
 ): Heartbeat {
   return {
     ...NODE_DESCRIPTION,
-    node: NODE_NAME,
+    nodeName: NODE_NAME,
     incarnation,
     sequence,
     fencingToken: 1,
@@ -71,15 +71,15 @@
 
 /** Creates a running task of the job, as its worker lists it. */
 export const createRunningTask = (index: number, attempt: number): TaskStatus => ({
-  job: JOB_UID,
+  jobUid: JOB_UID,
   taskIndex: index,
-  attempt,
+  attemptNumber: attempt,
   state: 'running',
 });
 
 /** Lists all pending commands for the node, with every start allowed. */
 export const listCommands = (node: Node) =>
-  [...pendingCommands(node, () => true)].map(({ command }) => command);
+  [...generatePendingCommands(node, () => true)].map(({ command }) => command);
 
 /** Creates the node health of a term that begins at 0 ms, without partitions and delegated leases. */
 export function createNodeHealth(
--- a/test/workers/codec.test.ts
+++ b/test/workers/codec.test.ts
@@ -11,8 +11,8 @@
   const heartbeat = decodeHeartbeat(parseJson(body))!;
   assert.equal(heartbeat.sequence, 18446744073709551615n);
   assert.equal(heartbeat.fencingToken, 9007199254740993n);
-  assert.equal(heartbeat.tasks[0]!.attempt, 9223372036854775809n);
-  assert.equal(formatJson({ try: heartbeat.tasks[0]!.attempt }), '{"try":9223372036854775809}');
+  assert.equal(heartbeat.tasks[0]!.attemptNumber, 9223372036854775809n);
+  assert.equal(formatJson({ try: heartbeat.tasks[0]!.attemptNumber }), '{"try":9223372036854775809}');
   assert.equal(decodeHeartbeat(parseJson(body.replace('running', 'odd')))!.tasks[0]!.state, 'fetching');
   const malformed: [from: string, to: string][] = [
     ['"tick":18446744073709551615', '"tick":-1'],
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -31,7 +31,7 @@
 
 /** Creates a dispatcher and a node with one planned attempt. `respond` simulates the worker of the node. */
 function setUp(respond: () => Promise<HttpResponse>) {
-  const clusterState = new ClusterState({ exited: () => undefined, released: () => undefined });
+  const clusterState = new ClusterState({ onExited: () => undefined, onReleased: () => undefined });
   const description = { name: 'vm-1', address: 'a:1', type: 'small', zone: 'a', spot: false };
   const node = clusterState.addNode({ ...description, capacity: { cpus: 8, accelerators: 0, memGb: 64 } }, 0);
   node.markReconciled();
@@ -53,7 +53,7 @@
     log: pino({ level: 'silent' }),
     mayStart: () => true,
     deliverCallResult: (result) => dispatcher.handleCallResult(result),
-    handleResponse: (_node, heartbeat) => responses.push(heartbeat.node),
+    handleResponse: (_node, heartbeat) => responses.push(heartbeat.nodeName),
   });
   const sendPending = async (nowMs: number): Promise<void> => {
     dispatcher.sendPending(nowMs);
