--- a/packages/duties/src/intent-executor.ts
+++ b/packages/duties/src/intent-executor.ts
@@ -146,7 +146,7 @@
       this.send({ kind: 'readEnded', fencingToken, isSuccessful });
     this.options.store.linearizableRead().then(
       () => reportEnd(true),
-      () => this.options.clock.after(RETRY_DELAY_MS, () => reportEnd(false)),
+      () => this.options.clock.setTimer(RETRY_DELAY_MS, () => reportEnd(false)),
     );
   }
 
@@ -206,7 +206,7 @@
 
   private callCloud({ key, intent }: IndexedIntent): void {
     // A leader of an earlier version ignores intents, and may use the nodes that they name.
-    if (this.options.currentLeader()?.delegates === false || this.rateLimiter.waitMs(1) > 0) return;
+    if (this.options.currentLeader()?.delegates === false || this.rateLimiter.computeWaitMs(1) > 0) return;
     // This is the last check before the call. If this process was paused, another one may hold the role by now.
     if (!this.options.roleLeases.isLeaseValid()) return;
     this.rateLimiter.consume(1);
--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -131,7 +131,7 @@
       batch = new Set();
       this.terminationBatches.set(role, batch);
       const windowMs = role === 'return' ? SCALE_IN_BATCH_WINDOW_MS : RECLAIM_BATCH_WINDOW_MS;
-      this.options.clock.after(windowMs, () => this.send({ kind: 'batchWindowEnded', role }));
+      this.options.clock.setTimer(windowMs, () => this.send({ kind: 'batchWindowEnded', role }));
     }
     for (const name of names) batch.add(name);
   }
@@ -190,7 +190,7 @@
   }
 
   private scheduleRetry(intent: Intent): void {
-    this.options.clock.after(RETRY_DELAY_MS, () => this.send({ kind: 'retryWrite', intent }));
+    this.options.clock.setTimer(RETRY_DELAY_MS, () => this.send({ kind: 'retryWrite', intent }));
   }
 
   /** Reports the completion of an intent once, although the replica may show the same intent several times. */
--- a/packages/duties/src/leased-roles.ts
+++ b/packages/duties/src/leased-roles.ts
@@ -117,6 +117,6 @@
   private restart(): void {
     this.stop();
     this.actors = this.createActors();
-    this.options.clock.after(ACTOR_RESTART_DELAY_MS, () => this.start());
+    this.options.clock.setTimer(ACTOR_RESTART_DELAY_MS, () => this.start());
   }
 }
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -7,14 +7,14 @@
   /** Returns the time of day in milliseconds since 1970. Its error is at most the bound in the settings. */
   wallMs(): number;
   /** Calls `callback` once after `delayMs` milliseconds. Returns a function that cancels the timer. */
-  after(delayMs: number, callback: () => void): () => void;
+  setTimer(delayMs: number, callback: () => void): () => void;
 }
 
 /** The clock of the running process. */
 export const systemClock: Clock = {
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
-  after(delayMs, callback) {
+  setTimer(delayMs, callback) {
     const timer = setTimeout(callback, Math.max(0, delayMs));
     return () => clearTimeout(timer);
   },
@@ -22,5 +22,5 @@
 
 /** Resolves after `durationMs` milliseconds. */
 export function sleep(clock: Clock, durationMs: number): Promise<void> {
-  return new Promise((resolve) => clock.after(durationMs, resolve));
+  return new Promise((resolve) => clock.setTimer(durationMs, resolve));
 }
--- a/packages/runtime/src/periodic-actor.ts
+++ b/packages/runtime/src/periodic-actor.ts
@@ -27,7 +27,7 @@
 
   /** Sends the first tick and schedules the following ones. */
   start(): void {
-    this.cancelTimer = this.clock.after(this.intervalMs, () => this.start());
+    this.cancelTimer = this.clock.setTimer(this.intervalMs, () => this.start());
     this.send({ kind: 'tick' });
   }
 
--- a/packages/runtime/src/process-clock.ts
+++ b/packages/runtime/src/process-clock.ts
@@ -35,9 +35,9 @@
    * Calls `callback` once after `delayMs` milliseconds, provided that the process has not ended by then. Returns a function
    * that cancels the timer.
    */
-  after(delayMs: number, callback: () => void): () => void {
+  setTimer(delayMs: number, callback: () => void): () => void {
     let isCancelled = false;
-    const cancelTimer = this.baseClock.after(delayMs, () =>
+    const cancelTimer = this.baseClock.setTimer(delayMs, () =>
       this.deferWhilePaused(() => {
         if (this.isProcessAlive && !isCancelled) callback();
       }),
--- a/packages/runtime/src/rate-limiter.ts
+++ b/packages/runtime/src/rate-limiter.ts
@@ -27,7 +27,7 @@
   }
 
   /** Returns the number of milliseconds until `requestCount` requests are permitted, or 0 if they are permitted now. */
-  waitMs(requestCount: number): number {
+  computeWaitMs(requestCount: number): number {
     this.refill();
     const requiredTokens = Math.min(requestCount, this.capacity);
     if (this.tokens >= requiredTokens) return 0;
--- a/packages/runtime/src/simulated-clock.ts
+++ b/packages/runtime/src/simulated-clock.ts
@@ -24,7 +24,7 @@
   }
 
   /** Calls `callback` once after `delayMs` simulated milliseconds. Returns a function that cancels the timer. */
-  after(delayMs: number, callback: () => void): () => void {
+  setTimer(delayMs: number, callback: () => void): () => void {
     const timer = { dueAtMs: this.nowMs + Math.max(0, delayMs), sequence: this.nextSequence++, callback };
     this.timers.push(timer);
     return () => {
--- a/scripts/duties/pauses.ts
+++ b/scripts/duties/pauses.ts
@@ -50,7 +50,7 @@
   out?: string;
 }
 
-const sleep = (ms: number): Promise<void> => new Promise((resolve) => systemClock.after(ms, resolve));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => systemClock.setTimer(ms, resolve));
 
 /** One cluster, in which one holder after another fails. */
 class ClusterTrial {
@@ -124,7 +124,7 @@
     if (!worker) return;
     worker.hanging = true;
     // The controllers return most hanging machines before that. The others must not take up cloud capacity for ever.
-    systemClock.after(HANG_MS, () => (worker.hanging = false));
+    systemClock.setTimer(HANG_MS, () => (worker.hanging = false));
   }
 
   private async waitForJobs(): Promise<void> {
@@ -172,7 +172,7 @@
       const needsNoTrigger =
         role === 'cleanup' || !failure.startsWith('paused') || failure === 'paused at a random time';
       // Without a trigger, or if no matching request arrives in time, the holder fails after this delay.
-      systemClock.after(needsNoTrigger ? this.random() * 500 : TRIGGER_TIMEOUT_MS, () => {
+      systemClock.setTimer(needsNoTrigger ? this.random() * 500 : TRIGGER_TIMEOUT_MS, () => {
         if (this.pendingFailure?.fail !== fail) return;
         this.pendingFailure = undefined;
         fail(holder);
@@ -194,13 +194,13 @@
     switch (failure) {
       case 'killed and restarted':
         cluster.kill(member);
-        return void systemClock.after(durationMs, () => cluster.startController(member));
+        return void systemClock.setTimer(durationMs, () => cluster.startController(member));
       case 'isolated from the state service':
         cluster.cutFromState.add(member);
-        return void systemClock.after(durationMs, () => cluster.cutFromState.delete(member));
+        return void systemClock.setTimer(durationMs, () => cluster.cutFromState.delete(member));
       default:
         cluster.pause(member);
-        return void systemClock.after(durationMs, () => cluster.resume(member));
+        return void systemClock.setTimer(durationMs, () => cluster.resume(member));
     }
   }
 
--- a/scripts/profile/load.ts
+++ b/scripts/profile/load.ts
@@ -46,16 +46,16 @@
   await cluster.start();
   process.on('exit', () => void cluster.stop());
   const { users } = cluster;
-  systemClock.after(4000, () => {
+  systemClock.setTimer(4000, () => {
     for (let i = 0; i < 8; i++) users.submit('service', 8, 0);
     for (let i = 0; i < machines / 12; i++) users.submit('array', 20, 50);
     const submitNext = (): void => {
       users.submit('array', 20, 50);
-      systemClock.after((1000 / Number(options.jobsPerSecond)) * 2 * random(), submitNext);
+      systemClock.setTimer((1000 / Number(options.jobsPerSecond)) * 2 * random(), submitNext);
     };
     submitNext();
   });
-  await new Promise<void>((resolve) => systemClock.after(Number(options.seconds) * 1000, resolve));
+  await new Promise<void>((resolve) => systemClock.setTimer(Number(options.seconds) * 1000, resolve));
   process.stdout.write(`${cluster.cloud.hosts.size} machines, ${cluster.rules.startCount} task starts\n`);
   await cluster.stop('SIGTERM');
   process.exit(0);
--- a/src/api/request-limiter.ts
+++ b/src/api/request-limiter.ts
@@ -38,7 +38,7 @@
       this.requestsInProgress--;
       respond(this.closeIfUnhealthy(response));
     };
-    const cancelTimeout = clock.after(timeoutMs, () => finish(TRY_AGAIN));
+    const cancelTimeout = clock.setTimer(timeoutMs, () => finish(TRY_AGAIN));
     handleRequest().then(finish, (error: unknown) => {
       log.debug({ err: error }, 'request failed');
       finish(TRY_AGAIN);
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -153,14 +153,14 @@
   private makeDueCalls(): void {
     const { clock, mayCall } = this.dependencies;
     this.cancelTimer?.();
-    while (mayCall() && this.rateLimiter.waitMs(1) === 0) {
+    while (mayCall() && this.rateLimiter.computeWaitMs(1) === 0) {
       const call = this.nextCall();
       if (!call) break;
       this.rateLimiter.consume(1);
       this.startCall(call);
     }
-    const waitMs = Math.max(this.rateLimiter.waitMs(1), STATE_RETRY_DELAY_MS);
-    this.cancelTimer = clock.after(waitMs, () => this.send({ kind: 'tick' }));
+    const waitMs = Math.max(this.rateLimiter.computeWaitMs(1), STATE_RETRY_DELAY_MS);
+    this.cancelTimer = clock.setTimer(waitMs, () => this.send({ kind: 'tick' }));
   }
 
   /** The most urgent call that is due. */
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -12,7 +12,7 @@
 import { readCurrentLeader } from './duties/current-leader.js';
 import { HttpCloudProvider } from './duties/http-cloud-provider.js';
 import { findObsoleteRecords } from './duties/obsolete-records.js';
-import { CancellationWatermark, maxCancellationLagMs } from './election/cancellation-watermark.js';
+import { CancellationWatermark, computeMaxCancellationLagMs } from './election/cancellation-watermark.js';
 import { Election } from './election/election.js';
 import type { HttpCaller, HttpRequest, Respond } from './http/message.js';
 import { Leadership } from './leader/leadership.js';
@@ -74,7 +74,7 @@
     this.storeClient = this.createStoreClient();
     this.replica = new StateReplica(this.storeClient, ROOT_PREFIX, clock, log);
     this.cancellationWatermark = new CancellationWatermark(
-      maxCancellationLagMs(settings.cancelS, settings.leaseS),
+      computeMaxCancellationLagMs(settings.cancelS, settings.leaseS),
     );
     this.jobDependencies = this.createJobDependencies();
     this.replica.onSynced((requestedMs) => this.cancellationWatermark.advance(requestedMs));
@@ -194,7 +194,7 @@
       log,
       leasedRoles: this.leasedRoles,
       resign: () => this.election.resign(),
-      isZoneUnreachable: (zone) => this.election.view.isZoneSuspect(zone),
+      isZoneUnreachable: (zone) => this.election.leaderView.isZoneSuspect(zone),
       isCurrentTerm: (term) => this.election.isCurrentTerm(term),
     });
   }
@@ -209,7 +209,7 @@
       clock,
       log,
       refusesConnections: (member) => peers.refusesConnections(member),
-      lastContactMs: (member) => this.election.failureDetector.lastMessageMs(member),
+      lastContactMs: (member) => this.election.failureDetector.getLastMessageAtMs(member),
     });
   }
 
@@ -232,7 +232,7 @@
       log,
       runningTaskCount: (uid) => this.runningTaskCounts.getCount(uid),
       isStoreAvailable: () => this.storeClient.isServed,
-      isHealthy: () => this.election.view.isHealthy,
+      isHealthy: () => this.election.leaderView.isHealthy,
       isShortOfMemory: () => this.memoryGuard.isUnderPressure,
       routeHeartbeat: (heartbeat, body, respond) => this.heartbeatRouter.route(heartbeat, body, respond),
     });
@@ -246,7 +246,7 @@
       log,
       random,
       maxPending: Math.ceil(settings.sockets.forClients * WAITING_HEARTBEATS_SOCKET_SHARE),
-      leader: () => this.election.view.reachableLeader(),
+      leader: () => this.election.leaderView.getReachableLeader(),
       refusingLeader: () => this.heartbeatRouter.refusingLeader(),
       handleLocally: (body, respond) => this.heartbeatRouter.handleLocally(body, respond),
     });
@@ -256,7 +256,7 @@
     const { settings, clock, peers } = this.environment;
     return new HeartbeatRouter({
       self: { member: settings.member, zone: settings.zone },
-      leaderView: this.election.view,
+      leaderView: this.election.leaderView,
       peers,
       clock,
       leader: () => this.leadership.leader,
--- a/src/election/cancellation-watermark.ts
+++ b/src/election/cancellation-watermark.ts
@@ -1,7 +1,7 @@
 /**
  * The rule that limits how long a cancelled job may keep running: a controller that answers a heartbeat knows every
- * cancellation that was confirmed to a user more than `maxCancellationLagMs` ago. This module reads no clock and does no
- * input or output.
+ * cancellation that was confirmed to a user more than `computeMaxCancellationLagMs` ago. This module reads no clock and
+ * does no input or output.
  */
 import {
   AUTHORITY_MARGIN_MS,
@@ -23,7 +23,7 @@
  * @param cancelS - seconds within which the tasks of a cancelled job must have ended
  * @param leaseS - duration of a worker's lease in seconds
  */
-export function maxCancellationLagMs(cancelS: number, leaseS: number): number {
+export function computeMaxCancellationLagMs(cancelS: number, leaseS: number): number {
   const maxLeaseMs = leaseS * 1000 * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_EXPIRY_MARGIN_MS;
   return (
     cancelS * 1000 * (1 - MAX_CLOCK_DRIFT_RATIO) -
@@ -45,7 +45,7 @@
   private completeUntilMs = -Infinity;
 
   constructor(
-    /** Age of the watermark, in milliseconds, from which no heartbeat is answered. See `maxCancellationLagMs`. */
+    /** Age of the watermark, in milliseconds, from which no heartbeat is answered. See `computeMaxCancellationLagMs`. */
     private readonly maxLagMs: number,
   ) {}
 
@@ -59,7 +59,7 @@
   }
 
   /** Whether a heartbeat may be answered. Check this, and the authority, immediately before the answer is sent. */
-  mayAnswer(nowMs: number): boolean {
+  mayAnswerHeartbeats(nowMs: number): boolean {
     return nowMs - this.completeUntilMs < this.maxLagMs;
   }
 
@@ -67,7 +67,7 @@
    * Whether tasks may be started. A state store that does not serve this controller may still serve the others, which then
    * confirm further cancellations. Therefore the watermark must be more recent if the cancellations come from the peers.
    */
-  mayStart(nowMs: number, source: CancellationSource): boolean {
+  mayStartTasks(nowMs: number, source: CancellationSource): boolean {
     const maxLagMs = source === 'stateStore' ? MAX_START_CANCELLATION_LAG_MS : LEASE_VOTE_DURATION_MS;
     return nowMs - this.completeUntilMs < maxLagMs;
   }
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -63,7 +63,7 @@
   /** Tracks which other controllers are alive and eligible to lead, and to which leader they relay heartbeats. */
   readonly failureDetector: PeerFailureDetector;
   /** What this controller knows about the current leader. */
-  readonly view: LeaderView;
+  readonly leaderView: LeaderView;
   private role: Role = FOLLOWER;
   private readonly campaignSchedule: CampaignSchedule;
   private readonly announcer: StatusAnnouncer;
@@ -77,7 +77,7 @@
     const { clock, peers, replica, transport, watermark } = options;
     const nowMs = (this.nowMs = () => clock.steadyMs());
     const failureDetector = (this.failureDetector = new PeerFailureDetector(peers, nowMs));
-    this.view = new LeaderView({ ...options, failureDetector });
+    this.leaderView = new LeaderView({ ...options, failureDetector });
     this.leaseVoter = new LeaseVoter({
       ...options,
       nowMs,
@@ -87,8 +87,8 @@
     this.voteCollector = new LeaseVoteCollector({ peers, replica, transport, watermark, nowMs });
     this.leadershipTransfer = new LeadershipTransfer({ ...options, failureDetector, nowMs });
     this.campaignSchedule = new CampaignSchedule({ ...options, nowMs }, this.leaseVoter.earliestCampaignAtMs);
-    const { view, campaignSchedule } = this;
-    this.announcer = new StatusAnnouncer({ ...options, leaderView: view, failureDetector, campaignSchedule });
+    const { leaderView, campaignSchedule } = this;
+    this.announcer = new StatusAnnouncer({ ...options, leaderView, failureDetector, campaignSchedule });
     replica.onChange((change) => {
       this.leaseVoter.recordChange(change);
       if (change.key === LEADER_KEY) this.send({ kind: 'leaderKeyChanged' });
@@ -100,7 +100,7 @@
   start(): void {
     const tick = (): void => {
       this.send({ kind: 'tick' });
-      this.options.clock.after(this.tickIntervalMs(), tick);
+      this.options.clock.setTimer(this.tickIntervalMs(), tick);
     };
     tick();
     this.announcer.start();
@@ -163,7 +163,7 @@
         this.loseLeadership(role, 'another controller leads');
     } else if (role.kind === 'follower' && !leaderKey) {
       const delayMs = this.campaignSchedule.planAfterLeaderLoss();
-      this.options.clock.after(delayMs + 1, () => this.send({ kind: 'tick' }));
+      this.options.clock.setTimer(delayMs + 1, () => this.send({ kind: 'tick' }));
     }
   }
 
@@ -172,7 +172,7 @@
     if (!replica.isLoaded || !this.campaignSchedule.isCampaignDue) return;
     const leaderKey = replica.get(LEADER_KEY);
     if (leaderKey) {
-      if (this.view.knownLeader() === member) this.deleteOwnLeaderKey(leaderKey);
+      if (this.leaderView.getKnownLeader() === member) this.deleteOwnLeaderKey(leaderKey);
       return;
     }
     if (this.nowMs() < this.leaseVoter.earliestCampaignAtMs) return;
--- a/src/election/leader-view.ts
+++ b/src/election/leader-view.ts
@@ -22,13 +22,13 @@
   constructor(private readonly dependencies: LeaderViewDependencies) {}
 
   /** Returns the name of the leader according to the local replica, which may be stale. */
-  knownLeader(): string | undefined {
+  getKnownLeader(): string | undefined {
     return decodeLeader(this.dependencies.replica.get(LEADER_KEY)?.value)?.member;
   }
 
   /** Returns the name of the known leader if it is alive and is not this controller. */
-  reachableLeader(): string | undefined {
-    const leader = this.knownLeader();
+  getReachableLeader(): string | undefined {
+    const leader = this.getKnownLeader();
     if (leader === undefined || leader === this.dependencies.member) return undefined;
     return this.dependencies.failureDetector.isAlive(leader) ? leader : undefined;
   }
@@ -38,15 +38,15 @@
    * to date or the leader is alive.
    */
   get isLeaderInfoFresh(): boolean {
-    const leader = this.knownLeader();
+    const leader = this.getKnownLeader();
     if (leader === undefined) return false;
     return this.dependencies.storeClient.isServed || this.dependencies.failureDetector.isAlive(leader);
   }
 
   /** Whether there is certainly no leader at present, so that a new one can be expected soon. */
-  get isElecting(): boolean {
+  get isLeaderless(): boolean {
     const { replica, storeClient } = this.dependencies;
-    return replica.isLoaded && storeClient.isServed && this.knownLeader() === undefined;
+    return replica.isLoaded && storeClient.isServed && this.getKnownLeader() === undefined;
   }
 
   /**
@@ -63,8 +63,8 @@
   }
 
   /** Lists the names of the controllers in a zone that lead or relay heartbeats to the leader, in a fixed order. */
-  heartbeatTargets(zone: string): string[] {
-    const leader = this.knownLeader();
+  listHeartbeatTargets(zone: string): string[] {
+    const leader = this.getKnownLeader();
     return leader === undefined ? [] : this.dependencies.failureDetector.listHeartbeatTargets(zone, leader);
   }
 
--- a/src/election/lease-vote-collector.ts
+++ b/src/election/lease-vote-collector.ts
@@ -66,8 +66,8 @@
   /** Merges the cancellations that a peer sends before its vote. A message that contains anything else is ignored. */
   handleCancellations(member: string, message: CancellationsMessage, term: LeadershipTerm): void {
     const round = this.findOpenRound(message, term);
-    if (!round || !message.jobs.every(isValidCancelledJob)) return;
-    for (const keyValue of message.jobs) this.dependencies.replica.merge(keyValue);
+    if (!round || !message.cancelledJobs.every(isValidCancelledJob)) return;
+    for (const keyValue of message.cancelledJobs) this.dependencies.replica.merge(keyValue);
     this.recordCancellationsMerged(round, member, round.recordCancellations(member));
   }
 
--- a/src/election/lease-voter.ts
+++ b/src/election/lease-voter.ts
@@ -110,7 +110,7 @@
     let messageCount = 0;
     for (let start = 0; start < jobs.length; start += this.jobsPerMessage, messageCount++) {
       const batch = jobs.slice(start, start + this.jobsPerMessage);
-      transport.send(member, { kind: 'cancellations', round, term, jobs: batch });
+      transport.send(member, { kind: 'cancellations', round, term, cancelledJobs: batch });
     }
     return { messageCount, endOffset: this.cancellationLog.endOffset };
   }
--- a/src/election/peer-failure-detector.ts
+++ b/src/election/peer-failure-detector.ts
@@ -34,7 +34,7 @@
   /** Records that a message of any kind arrived, which shows that its sender is alive. */
   recordMessage(member: string): void {
     const nowMs = this.nowMs();
-    if (nowMs - this.lastMessageMs(member) > SUSPECT_AFTER_MS) this.aliveSinceMs.set(member, nowMs);
+    if (nowMs - this.getLastMessageAtMs(member) > SUSPECT_AFTER_MS) this.aliveSinceMs.set(member, nowMs);
     this.lastMessageTimesMs.set(member, nowMs);
   }
 
@@ -46,13 +46,13 @@
   }
 
   /** Returns the time of a peer's last message in milliseconds on the steady clock, or `-Infinity` before the first one. */
-  lastMessageMs(member: string): number {
+  getLastMessageAtMs(member: string): number {
     return this.lastMessageTimesMs.get(member) ?? -Infinity;
   }
 
   /** Whether a peer has recently sent a message. */
   isAlive(member: string): boolean {
-    return this.nowMs() - this.lastMessageMs(member) < DEAD_AFTER_MS;
+    return this.nowMs() - this.getLastMessageAtMs(member) < DEAD_AFTER_MS;
   }
 
   /** Whether at least one peer is alive. */
@@ -74,7 +74,7 @@
     return (
       this.eligibleMembers.has(member) &&
       nowMs - (this.aliveSinceMs.get(member) ?? Infinity) > durationMs &&
-      nowMs - this.lastMessageMs(member) < SUSPECT_AFTER_MS
+      nowMs - this.getLastMessageAtMs(member) < SUSPECT_AFTER_MS
     );
   }
 
@@ -92,6 +92,6 @@
     const peersInZone = this.peers.filter((peer) => peer.zone === zone);
     if (peersInZone.length === 0) return false;
     const nowMs = this.nowMs();
-    return peersInZone.every((peer) => nowMs - this.lastMessageMs(peer.member) > SUSPECT_AFTER_MS);
+    return peersInZone.every((peer) => nowMs - this.getLastMessageAtMs(peer.member) > SUSPECT_AFTER_MS);
   }
 }
--- a/src/election/status-announcer.ts
+++ b/src/election/status-announcer.ts
@@ -27,14 +27,14 @@
   /** Announces the status now and then once per heartbeat interval. */
   start(): void {
     this.announce();
-    this.dependencies.clock.after(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
+    this.dependencies.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
   }
 
   private announce(): void {
     const { peers, transport, storeClient, leaderView, failureDetector, campaignSchedule } =
       this.dependencies;
     const isEligible = storeClient.isServed && !campaignSchedule.hasRecentlySteppedDown;
-    const leader = leaderView.knownLeader();
+    const leader = leaderView.getKnownLeader();
     const relayTarget = leader !== undefined && failureDetector.isAlive(leader) ? leader : null;
     for (const peer of peers) transport.send(peer.member, { kind: 'status', isEligible, relayTarget });
   }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -296,7 +296,7 @@
           reject(error);
         },
       };
-      call.cancelTimer = this.clock.after(timeoutMs, () =>
+      call.cancelTimer = this.clock.setTimer(timeoutMs, () =>
         call.reject(new CallError(determineFailure(call), 'timed out')),
       );
       let pool = this.pools.get(address);
@@ -323,7 +323,7 @@
 
   /** Closes idle connections and removes unused pools at regular intervals. */
   private scheduleIdleSweep(): void {
-    this.cancelIdleSweep = this.clock.after(POOL_IDLE_TIMEOUT_MS / 2, () => {
+    this.cancelIdleSweep = this.clock.setTimer(POOL_IDLE_TIMEOUT_MS / 2, () => {
       const nowMs = this.clock.steadyMs();
       for (const [address, pool] of this.pools) {
         pool.closeIdleConnections(nowMs);
--- a/src/leader/running-task-counts.ts
+++ b/src/leader/running-task-counts.ts
@@ -35,7 +35,7 @@
   /** Broadcasts the counts now and then once per interval of the peer heartbeats, while this controller leads. */
   start(): void {
     this.broadcast();
-    this.dependencies.clock.after(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
+    this.dependencies.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
   }
 
   private broadcast(): void {
--- a/src/leader/task-lifecycle.ts
+++ b/src/leader/task-lifecycle.ts
@@ -12,7 +12,7 @@
   readonly commandDispatcher: Pick<CommandDispatcher, 'forget'>;
   readonly reconciliation: Pick<TermReconciliation, 'isComplete'>;
   readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
-  readonly cancellationWatermark: Pick<CancellationWatermark, 'mayStart'>;
+  readonly cancellationWatermark: Pick<CancellationWatermark, 'mayStartTasks'>;
   /** Whether the state store responded to the last call. */
   readonly isStateStoreAvailable: () => boolean;
   readonly nowMs: () => number;
@@ -46,7 +46,7 @@
     if (!node.isPersistedAsUsed || !node.isReconciled || node.isTerminating) return false;
     if (job.hasDependencies && jobDependencies.getStatus(job.uid) !== 'ready') return false;
     const source = this.dependencies.isStateStoreAvailable() ? 'stateStore' : 'peers';
-    if (!cancellationWatermark.mayStart(this.dependencies.nowMs(), source)) return false;
+    if (!cancellationWatermark.mayStartTasks(this.dependencies.nowMs(), source)) return false;
     // The tasks of a job that an earlier term started may still run on nodes that are not reconciled.
     return reconciliation.isComplete || !job.startedInEarlierTerm;
   }
--- a/src/leader/throttled-task.ts
+++ b/src/leader/throttled-task.ts
@@ -71,7 +71,7 @@
     if (latestRunMs >= this.scheduledRunMs) return;
     this.cancelTimer?.();
     this.scheduledRunMs = latestRunMs;
-    this.cancelTimer = this.clock.after(latestRunMs - this.clock.steadyMs(), this.onDue);
+    this.cancelTimer = this.clock.setTimer(latestRunMs - this.clock.steadyMs(), this.onDue);
   }
 
   /** Runs the work, whether or not it is due, and measures how long it takes. */
--- a/src/memory-guard.ts
+++ b/src/memory-guard.ts
@@ -24,7 +24,7 @@
   /** Checks the memory usage now and then periodically. */
   start(): void {
     this.updatePressure();
-    this.clock.after(MEMORY_CHECK_INTERVAL_MS, () => this.start());
+    this.clock.setTimer(MEMORY_CHECK_INTERVAL_MS, () => this.start());
   }
 
   private updatePressure(): void {
--- a/src/peers/peer-codec.ts
+++ b/src/peers/peer-codec.ts
@@ -52,8 +52,8 @@
   };
 }
 
-function encodeCancellations({ round, term, jobs }: CancellationsMessage): Frame {
-  const rows = jobs.map(({ key, value, modRevision }) => ({ key, value, stamp: modRevision }));
+function encodeCancellations({ round, term, cancelledJobs }: CancellationsMessage): Frame {
+  const rows = cancelledJobs.map(({ key, value, modRevision }) => ({ key, value, stamp: modRevision }));
   return { kind: 'cancellations', id: round, term, rows };
 }
 
@@ -128,8 +128,8 @@
     return { kind: 'leaseVoteRequest', round, term, sinceRevision, offset: decodeOffset(frame.read) };
   }
   if (kind === 'cancellations') {
-    const jobs = decodeKeyValues(frame.rows);
-    return jobs && { kind, round, term, jobs };
+    const cancelledJobs = decodeKeyValues(frame.rows);
+    return cancelledJobs && { kind, round, term, cancelledJobs };
   }
   if (typeof frame.given !== 'boolean') return undefined;
   const transfer = decodeTransfer(frame.informs);
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -55,7 +55,7 @@
       connectedAtMs: undefined,
       stopHeartbeats: () => undefined,
     };
-    const cancelTimeout = clock.after(PEER_IDLE_TIMEOUT_MS, () => socket.destroy());
+    const cancelTimeout = clock.setTimer(PEER_IDLE_TIMEOUT_MS, () => socket.destroy());
     socket.setNoDelay(true);
     socket.on('error', (error: NodeJS.ErrnoException) => {
       this.wasRefused = error.code === 'ECONNREFUSED';
@@ -85,7 +85,7 @@
 
   private sendHeartbeats(session: SocketSession): void {
     this.send(encodePeerMessage({ kind: 'heartbeat' }));
-    session.stopHeartbeats = this.options.clock.after(PEER_HEARTBEAT_INTERVAL_MS, () =>
+    session.stopHeartbeats = this.options.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, () =>
       this.sendHeartbeats(session),
     );
   }
@@ -104,6 +104,6 @@
       wasConnected &&
       session.connectedAtMs !== undefined &&
       clock.steadyMs() - session.connectedAtMs >= PEER_RECONNECT_DELAY_MS;
-    clock.after(wasStable ? 0 : PEER_RECONNECT_DELAY_MS, () => this.dial());
+    clock.setTimer(wasStable ? 0 : PEER_RECONNECT_DELAY_MS, () => this.dial());
   }
 }
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -52,7 +52,7 @@
   /** The leader's term. */
   readonly term: number;
   /** The stored records of the cancelled jobs. */
-  readonly jobs: readonly KeyValue[];
+  readonly cancelledJobs: readonly KeyValue[];
 }
 
 /** Sent by a voter to the leader in response to a vote request. */
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -120,7 +120,7 @@
       };
       this.hosts.set(name, host);
       const bootS = this.instanceTypes.find((instanceType) => instanceType.sku === request.build)!.bootS;
-      this.clock.after(bootS * 1000, () => {
+      this.clock.setTimer(bootS * 1000, () => {
         if (this.hosts.get(name) === host) host.worker = this.startWorker(host);
       });
       names.push(name);
--- a/src/simulation/day.ts
+++ b/src/simulation/day.ts
@@ -191,7 +191,7 @@
     const check = (): void => {
       this.rules.checkCancelledTasks();
       this.rules.checkWaitingJobs(this.calmMs, this.listRunningMachines());
-      this.clock.after(500, check);
+      this.clock.setTimer(500, check);
     };
     check();
   }
@@ -240,7 +240,7 @@
   crash(member: string, restartDelayMs: number): void {
     this.processClocks.get(member)!.kill();
     this.network.detach(member);
-    this.clock.after(restartDelayMs, () => this.startController(member));
+    this.clock.setTimer(restartDelayMs, () => this.startController(member));
   }
 
   /**
@@ -249,13 +249,13 @@
    */
   freeze(member: string, durationMs: number): void {
     this.network.holdOutbound(member);
-    this.clock.after(40, () => this.network.pauseHost(member));
-    this.clock.after(durationMs, () => this.network.resumeHost(member));
+    this.clock.setTimer(40, () => this.network.pauseHost(member));
+    this.clock.setTimer(durationMs, () => this.network.resumeHost(member));
   }
 
   /** Schedules an action at a second of simulated time. */
   at(second: number, run: () => void): void {
-    this.clock.after(second * 1000 - this.clock.steadyMs(), run);
+    this.clock.setTimer(second * 1000 - this.clock.steadyMs(), run);
   }
 
   /**
@@ -343,7 +343,7 @@
   }
 
   private sleep(ms: number): Promise<void> {
-    return new Promise((resolve) => this.clock.after(ms, resolve));
+    return new Promise((resolve) => this.clock.setTimer(ms, resolve));
   }
 
   private async simulateUser(job: SimJob, cancelAfterS: number | undefined): Promise<void> {
--- a/src/simulation/loopback-network.ts
+++ b/src/simulation/loopback-network.ts
@@ -10,7 +10,7 @@
 export const backgroundClock: Clock = {
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
-  after(ms, run) {
+  setTimer(ms, run) {
     const timer = setTimeout(run, Math.max(0, ms)).unref();
     return () => clearTimeout(timer);
   },
--- a/src/simulation/loopback-users.ts
+++ b/src/simulation/loopback-users.ts
@@ -48,11 +48,11 @@
   }
 
   private retrySubmission(uid: string, body: string): void {
-    backgroundClock.after(RETRY_DELAY_MS, () => this.sendSubmission(uid, body));
+    backgroundClock.setTimer(RETRY_DELAY_MS, () => this.sendSubmission(uid, body));
   }
 
   private poll(uid: string): void {
-    backgroundClock.after(POLL_INTERVAL_MS, () => {
+    backgroundClock.setTimer(POLL_INTERVAL_MS, () => {
       this.sendRequest('GET', `/submissions/${uid}`).then(
         () => this.poll(uid),
         () => this.poll(uid),
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -97,7 +97,7 @@
     ].flat();
     this.pausedHostActions.delete(host);
     this.heldOutboundMessages.delete(host);
-    for (const run of pendingActions) this.clock.after(1 + this.random() * 3, run);
+    for (const run of pendingActions) this.clock.setTimer(1 + this.random() * 3, run);
   }
 
   /** Runs an action on a host, after the end of its pause if it is paused. */
@@ -141,7 +141,7 @@
     const partitions = [...this.partitions.values()];
     this.partitions.clear();
     for (const partition of partitions)
-      for (const deliver of partition.heldMessages) this.clock.after(1, deliver);
+      for (const deliver of partition.heldMessages) this.clock.setTimer(1, deliver);
   }
 
   /** Delivers a message after a random delay, unless a fault drops it or holds it back. */
@@ -150,7 +150,7 @@
     const partition = this.findPartition(from, to);
     const heldMessages = partition?.heldMessages ?? this.heldOutboundMessages.get(from);
     if (heldMessages) heldMessages.push(run);
-    else this.clock.after(1 + this.random() * 3, () => this.runOnHost(to, run));
+    else this.clock.setTimer(1 + this.random() * 3, () => this.runOnHost(to, run));
   }
 
   /** Creates an HTTP client of a host. A client that is no longer alive ignores responses. */
@@ -166,7 +166,7 @@
             isSettled = true;
             run();
           };
-          this.clock.after(timeoutMs, () =>
+          this.clock.setTimer(timeoutMs, () =>
             this.runOnHost(from, () =>
               settleOnce(() => {
                 this.observer.callFailed(request, 'timed out');
@@ -178,7 +178,10 @@
           if (this.hostsWithoutOwnRequests.has(from)) return;
           const drawDelayMs = this.duplicateDelays.get(from);
           if (drawDelayMs)
-            this.clock.after(drawDelayMs(), () => void this.handlers.get(to)?.(from, method, target, body));
+            this.clock.setTimer(
+              drawDelayMs(),
+              () => void this.handlers.get(to)?.(from, method, target, body),
+            );
           this.deliver(from, to, () => {
             const handler = this.handlers.get(to);
             if (!handler) {
--- a/src/simulation/state-service.ts
+++ b/src/simulation/state-service.ts
@@ -49,7 +49,7 @@
   ) {
     const expireRepeatedly = (): void => {
       this.expireLeases();
-      clock.after(50, expireRepeatedly);
+      clock.setTimer(50, expireRepeatedly);
     };
     expireRepeatedly();
   }
@@ -89,14 +89,14 @@
     const query = url.searchParams;
     const isRefused = (): boolean => this.refused.has('*') || this.refused.has(from);
     if (isRefused()) return jsonResponse(503, {});
-    if (this.slowMs) await new Promise<void>((resolve) => this.clock.after(this.slowMs!(), resolve));
+    if (this.slowMs) await new Promise<void>((resolve) => this.clock.setTimer(this.slowMs!(), resolve));
     if (url.pathname === '/follow') return this.followLog(query, isRefused);
     if (url.pathname === '/keys') return this.listRows(query);
     if (url.pathname.startsWith('/keys/')) return this.getRow(url.pathname.slice('/keys/'.length));
     if (url.pathname === '/multi') {
       if (this.lateShare === 0 || this.random() >= this.lateShare)
         return this.executeTransaction(JSON.parse(body ?? ''));
-      this.clock.after(
+      this.clock.setTimer(
         2_000 + this.random() * 10_000,
         () => void this.executeTransaction(JSON.parse(body ?? '')),
       );
@@ -213,7 +213,7 @@
       };
       this.watchers.add(check);
       if (holdMs > 0)
-        this.clock.after(holdMs, () => {
+        this.clock.setTimer(holdMs, () => {
           hasTimedOut = true;
           check();
         });
--- a/src/simulation/workers.ts
+++ b/src/simulation/workers.ts
@@ -102,7 +102,7 @@
   }
 
   private watchLease(): void {
-    this.clock.after(100, () => {
+    this.clock.setTimer(100, () => {
       if (!this.isAlive) return;
       if (!this.hanging && this.clock.steadyMs() - this.leaseRenewedMs > this.timing.leaseS * 1000) {
         for (const task of this.tasks.values())
@@ -136,7 +136,7 @@
   }
 
   private scheduleReport(delayMs: number): void {
-    this.clock.after(delayMs, () => {
+    this.clock.setTimer(delayMs, () => {
       if (!this.isAlive) return;
       if (this.hanging) return this.scheduleReport(200);
       void this.sendReport();
@@ -189,7 +189,7 @@
   private async handleRequest(target: string, body: string | undefined): Promise<HttpResponse | undefined> {
     if (!this.isAlive) return undefined;
     // A hanging machine handles the requests that reached it once it runs again.
-    while (this.hanging) await new Promise<void>((resolve) => this.clock.after(100, resolve));
+    while (this.hanging) await new Promise<void>((resolve) => this.clock.setTimer(100, resolve));
     // The machine may have been terminated in the meantime.
     if (!this.isAlive) return undefined;
     if (target === '/show') return { status: 200, body: JSON.stringify(this.buildReport()) };
@@ -222,14 +222,14 @@
           other !== task && other.phase !== 'exited' && other.uid === uid && other.index === task.index,
       );
       if (isDuplicate) this.exitTask(task, 'in_use');
-      else this.clock.after(this.timing.fetchS * 1000, () => this.startTask(key, task));
+      else this.clock.setTimer(this.timing.fetchS * 1000, () => this.startTask(key, task));
     }
   }
 
   private startTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'fetching') return;
     if (this.hanging) {
-      this.clock.after(200, () => this.startTask(key, task));
+      this.clock.setTimer(200, () => this.startTask(key, task));
       return;
     }
     task.phase = 'running';
@@ -241,7 +241,7 @@
     const { kind, runS } = this.rules.jobs.get(task.uid)!.job;
     if (kind === 'service') return;
     const hasFinishedBefore = this.finishedTasks.has(`${task.uid}/${task.index}`);
-    this.clock.after(hasFinishedBefore ? 10 : runS * 1000 * (0.8 + this.random() * 0.4), () =>
+    this.clock.setTimer(hasFinishedBefore ? 10 : runS * 1000 * (0.8 + this.random() * 0.4), () =>
       this.finishTask(key, task),
     );
   }
@@ -249,7 +249,7 @@
   private finishTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'running') return;
     if (this.hanging) {
-      this.clock.after(200, () => this.finishTask(key, task));
+      this.clock.setTimer(200, () => this.finishTask(key, task));
       return;
     }
     this.finishedTasks.add(`${task.uid}/${task.index}`);
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -228,8 +228,8 @@
   /** Returns the time until a request with so many write operations is within the rate limits. */
   private rateLimitWaitMs(writeCount: number): number {
     return Math.max(
-      this.requestRateLimiter.waitMs(1),
-      writeCount > 0 ? this.writeRateLimiter.waitMs(writeCount) : 0,
+      this.requestRateLimiter.computeWaitMs(1),
+      writeCount > 0 ? this.writeRateLimiter.computeWaitMs(writeCount) : 0,
     );
   }
 
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -31,7 +31,7 @@
 /** Dependencies of HeartbeatHandler. */
 export interface HeartbeatHandlerDependencies {
   readonly term: LeadershipTerm;
-  readonly cancellationWatermark: Pick<CancellationWatermark, 'mayAnswer'>;
+  readonly cancellationWatermark: Pick<CancellationWatermark, 'mayAnswerHeartbeats'>;
   readonly clusterState: ClusterState;
   readonly heartbeatReconciler: HeartbeatReconciler;
   readonly replica: Pick<StateReplica, 'get'>;
@@ -168,7 +168,7 @@
     const nowMs = this.dependencies.nowMs();
     return (
       this.dependencies.term.authority.isValid(nowMs) &&
-      this.dependencies.cancellationWatermark.mayAnswer(nowMs)
+      this.dependencies.cancellationWatermark.mayAnswerHeartbeats(nowMs)
     );
   }
 
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -173,6 +173,6 @@
   private scheduleReview(): void {
     if (this.isReviewScheduled || this.pendingHeartbeats.size === 0) return;
     this.isReviewScheduled = true;
-    this.dependencies.clock.after(RELAY_REVIEW_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
+    this.dependencies.clock.setTimer(RELAY_REVIEW_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
   }
 }
--- a/src/workers/heartbeat-router.ts
+++ b/src/workers/heartbeat-router.ts
@@ -35,7 +35,7 @@
   readonly self: { readonly member: string; readonly zone: string };
   readonly leaderView: Pick<
     LeaderView,
-    'heartbeatTargets' | 'isLeaderInfoFresh' | 'knownLeader' | 'isElecting'
+    'listHeartbeatTargets' | 'isLeaderInfoFresh' | 'getKnownLeader' | 'isLeaderless'
   >;
   readonly peers: PeerTransport;
   readonly clock: Clock;
@@ -71,7 +71,7 @@
       return ACCEPTED;
     }
     const leader = this.findTrustedLeader();
-    if (leader === undefined && !this.dependencies.leaderView.isElecting) return UNAVAILABLE;
+    if (leader === undefined && !this.dependencies.leaderView.isLeaderless) return UNAVAILABLE;
     if (leader !== undefined && this.dependencies.peers.refusesConnections(leader))
       return { kind: 'redirected', member: leader };
     // The relay also holds heartbeats for a moment while there is no leader or the leader is not ready yet. Each
@@ -98,7 +98,7 @@
   /** Name of the known leader. Undefined if that information may be stale. */
   private findTrustedLeader(): string | undefined {
     const { leaderView } = this.dependencies;
-    return leaderView.isLeaderInfoFresh ? leaderView.knownLeader() : undefined;
+    return leaderView.isLeaderInfoFresh ? leaderView.getKnownLeader() : undefined;
   }
 
   /**
@@ -123,7 +123,7 @@
    */
   private findBetterTarget({ zone, nodeName, sequence }: Heartbeat): string | undefined {
     const { leaderView, self, redirector, clock } = this.dependencies;
-    const targets = leaderView.heartbeatTargets(zone);
+    const targets = leaderView.listHeartbeatTargets(zone);
     const shouldRedirect =
       zone !== self.zone || redirector()?.tryRedirect(nodeName, targets.length, clock.steadyMs()) === true;
     if (!shouldRedirect || targets.length === 0) return undefined;
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -105,7 +105,7 @@
   start(): void {
     const check = (): void => {
       this.send({ kind: 'check' });
-      this.dependencies.clock.after(LEASE_PROXY_CHECK_INTERVAL_MS, check);
+      this.dependencies.clock.setTimer(LEASE_PROXY_CHECK_INTERVAL_MS, check);
     };
     check();
   }
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -249,11 +249,11 @@
         const { job } = deployment.rules.jobs.get(uid)!;
         const action = Math.floor(deployment.random() * 4);
         // Falls between the end of the last task and the time at which the completion is stored.
-        deployment.clock.after(deployment.random() * 1_000, () => {
+        deployment.clock.setTimer(deployment.random() * 1_000, () => {
           if (action < 2) void deployment.cancel(uid);
           else if (action === 2) void deployment.poll(uid);
           else void deployment.resubmit(job);
-          deployment.clock.after(deployment.random() * 400, () => void deployment.poll(uid));
+          deployment.clock.setTimer(deployment.random() * 400, () => void deployment.poll(uid));
         });
       });
     },
--- a/test/duties/failure-cases.test.ts
+++ b/test/duties/failure-cases.test.ts
@@ -151,7 +151,7 @@
       cluster.targetNodes = 3;
       await advanceUntilIntent(cluster, 'rent', 'committed');
       ['c1', 'c2', 'c3'].forEach((member, i) =>
-        cluster.clock.after(i * 300, () => cluster.crash(member, 9_000)),
+        cluster.clock.setTimer(i * 300, () => cluster.crash(member, 9_000)),
       );
       await advance(cluster, 8_000);
       assert.equal(cluster.cloud.hosts.size, 3);
--- a/test/duties/interleavings.test.ts
+++ b/test/duties/interleavings.test.ts
@@ -107,13 +107,13 @@
       return cluster.crash(member, Math.min(durationMs, 3_000));
     case 'state service partition':
       state.refused.add(member);
-      return void clock.after(durationMs, () => state.refused.delete(member));
+      return void clock.setTimer(durationMs, () => state.refused.delete(member));
     case 'cloud partition':
       cluster.partitionedFromCloud.add(member);
-      return void clock.after(durationMs * 2, () => cluster.partitionedFromCloud.delete(member));
+      return void clock.setTimer(durationMs * 2, () => cluster.partitionedFromCloud.delete(member));
     case 'outage':
       state.refused.add('*');
-      return void clock.after(durationMs / 2, () => state.endOutage());
+      return void clock.setTimer(durationMs / 2, () => state.endOutage());
     case 'new leader':
       return void cluster.elect(member);
     case 'clock jump':
@@ -121,7 +121,7 @@
       return;
     case 'capacity':
       cloud.capacity = Math.abs(amount) % 6;
-      return void clock.after(durationMs, () => (cloud.capacity = Infinity));
+      return void clock.setTimer(durationMs, () => (cloud.capacity = Infinity));
     case 'resign':
       for (const { role } of cluster.requireRoles(member).heldRoles())
         cluster.requireRoles(member).resign(role, 'test');
@@ -142,14 +142,14 @@
   const cluster = new ModelCluster(MEMBERS, random, createDeliveryPolicy(random, disturbedShare));
   cluster.isFencingEnabled = isFencingEnabled;
   const { clock } = cluster;
-  clock.after(300, () => void cluster.elect('c0'));
+  clock.setTimer(300, () => void cluster.elect('c0'));
   const changeTargetNodes = (): void => {
     cluster.targetNodes =
       clock.steadyMs() < FAULT_PHASE_MS ? 1 + Math.floor(random() * 8) : TARGET_NODES_AT_END;
-    clock.after(TARGET_CHANGE_INTERVAL_MS, changeTargetNodes);
+    clock.setTimer(TARGET_CHANGE_INTERVAL_MS, changeTargetNodes);
   };
   changeTargetNodes();
-  for (const fault of faults) clock.after(fault.atMs, () => injectFault(cluster, fault));
+  for (const fault of faults) clock.setTimer(fault.atMs, () => injectFault(cluster, fault));
   await clock.runUntil(FAULT_PHASE_MS + 15_000);
   cluster.deliveryPolicy = PROMPT_DELIVERY;
   cluster.state.endOutage();
--- a/test/duties/loopback.test.ts
+++ b/test/duties/loopback.test.ts
@@ -15,7 +15,7 @@
 const DEADLINE_MS = 60_000;
 const TASKS_PER_JOB = 4;
 
-const sleep = (ms: number): Promise<void> => new Promise((resolve) => systemClock.after(ms, resolve));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => systemClock.setTimer(ms, resolve));
 
 async function waitUntil(description: string, condition: () => boolean): Promise<void> {
   const deadlineMs = systemClock.steadyMs() + DEADLINE_MS;
--- a/test/duties/model-cluster.ts
+++ b/test/duties/model-cluster.ts
@@ -162,13 +162,13 @@
   crash(member: string, restartDelayMs: number): void {
     if (!this.requireProcess(member).clock.isAlive) return;
     this.requireProcess(member).clock.kill();
-    this.clock.after(restartDelayMs, () => this.startProcess(member));
+    this.clock.setTimer(restartDelayMs, () => this.startProcess(member));
   }
 
   pause(member: string, durationMs: number): void {
     const process = this.requireProcess(member);
     process.pause();
-    this.clock.after(durationMs, () => process.resume());
+    this.clock.setTimer(durationMs, () => process.resume());
   }
 
   /** Makes a controller the leader of a new term. */
@@ -184,7 +184,7 @@
         hasReadOwnRecord =
           Number((replica.get(LEADER_KEY)?.value as { term: number } | undefined)?.term) >= term;
       } catch {
-        await new Promise<void>((resolve) => process.clock.after(300, resolve));
+        await new Promise<void>((resolve) => process.clock.setTimer(300, resolve));
       }
     if (this.term !== term || !process.clock.isAlive) return;
     const stored = replica.get(LEADER_KEY);
@@ -268,10 +268,10 @@
     const { requestDelayMs, responseDelayMs, isResponseLost } = this.deliveryPolicy();
     return new Promise((resolve, reject) => {
       const runInProcessAfter = (ms: number, run: () => void): void =>
-        void this.clock.after(ms, () => process.run(run));
+        void this.clock.setTimer(ms, () => process.run(run));
       runInProcessAfter(timeoutMs, () => reject(new CallError('unclear', 'no answer')));
       if (address === 'cloud:1' && this.partitionedFromCloud.has(member)) return;
-      this.clock.after(requestDelayMs, () => {
+      this.clock.setTimer(requestDelayMs, () => {
         void this.handlers.get(address)!(member, method, target, body).then((response) => {
           if (response && !isResponseLost) runInProcessAfter(responseDelayMs, () => resolve(response));
         });
--- a/test/duties/model-leader.ts
+++ b/test/duties/model-leader.ts
@@ -60,7 +60,7 @@
       const role = Number(name.slice('vm-'.length)) % 2 ? 'return' : 'reclaim';
       this.intents.send({ kind: 'terminate', role, names: [name] });
     }
-    clock.after(CHECK_INTERVAL_MS, () => this.reconcile());
+    clock.setTimer(CHECK_INTERVAL_MS, () => this.reconcile());
   }
 
   private onEvent(event: IntentEvent): void {
--- a/test/duties/model-process.ts
+++ b/test/duties/model-process.ts
@@ -22,7 +22,7 @@
     return {
       steadyMs: () => this.clock.steadyMs() + this.clockOffsetMs,
       wallMs: () => this.clock.wallMs() + this.clockOffsetMs * 1_000,
-      after: (ms, run) => this.clock.after(ms, run),
+      setTimer: (ms, run) => this.clock.setTimer(ms, run),
     };
   }
 
--- a/test/duties/settled-cluster.ts
+++ b/test/duties/settled-cluster.ts
@@ -14,7 +14,7 @@
   const random = (): number => (state = (state * 48_271) % 2_147_483_647) / 2_147_483_647;
   const cluster = new ModelCluster(members, random, PROMPT_DELIVERY);
   cluster.targetNodes = 0;
-  cluster.clock.after(100, () => void cluster.elect('c0'));
+  cluster.clock.setTimer(100, () => void cluster.elect('c0'));
   await cluster.clock.runUntil(9_000);
   assert.ok(!cluster.log.holders().includes(undefined), 'a role has no holder');
   return cluster;
--- a/test/election/cancellation-watermark.test.ts
+++ b/test/election/cancellation-watermark.test.ts
@@ -7,7 +7,10 @@
   RELAY_RESPONSE_VALIDITY_MS,
   MAX_START_CANCELLATION_LAG_MS,
 } from '../../src/constants.js';
-import { CancellationWatermark, maxCancellationLagMs } from '../../src/election/cancellation-watermark.js';
+import {
+  CancellationWatermark,
+  computeMaxCancellationLagMs,
+} from '../../src/election/cancellation-watermark.js';
 
 test('the settings limit the age of a cancellation that a leader answering heartbeats may not know yet', () => {
   const cases: [cancelS: number, leaseS: number][] = [
@@ -18,7 +21,7 @@
     [10, 10],
   ];
   for (const [cancelS, leaseS] of cases) {
-    const maxLagMs = maxCancellationLagMs(cancelS, leaseS);
+    const maxLagMs = computeMaxCancellationLagMs(cancelS, leaseS);
     // Worst case: an answer without the cancellation is sent at the last moment and delayed by a relay. The worker then runs
     // its tasks for a whole lease on a slow clock.
     const tasksEndedMs =
@@ -49,8 +52,8 @@
     const watermark = new CancellationWatermark(20_000);
     for (const advanceMs of advancesMs) watermark.advance(advanceMs);
     const label = `${advancesMs.join()} at ${nowMs}`;
-    assert.equal(watermark.mayAnswer(nowMs), mayAnswer, label);
-    assert.equal(watermark.mayStart(nowMs, 'stateStore'), fromStateStore, label);
-    assert.equal(watermark.mayStart(nowMs, 'peers'), fromPeers, label);
+    assert.equal(watermark.mayAnswerHeartbeats(nowMs), mayAnswer, label);
+    assert.equal(watermark.mayStartTasks(nowMs, 'stateStore'), fromStateStore, label);
+    assert.equal(watermark.mayStartTasks(nowMs, 'peers'), fromPeers, label);
   }
 });
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -209,7 +209,7 @@
     fixture.receive({ kind: 'leaseVoteRequest', round: 1, term: 6, ...request });
     const vote = fixture.sent.find((m) => m.kind === 'leaseVote');
     assert.ok(vote?.isGranted, name);
-    const sent = fixture.sent.flatMap((m) => (m.kind === 'cancellations' ? m.jobs : []));
+    const sent = fixture.sent.flatMap((m) => (m.kind === 'cancellations' ? m.cancelledJobs : []));
     assert.equal(vote.transfer && sent.length, expectedJobs, name);
     if (expectedJobs) assert.deepEqual(sent.at(-1), createCancelledJob('job-13', 13));
     // In the next round, the leader reads on from its offset.
@@ -288,12 +288,17 @@
     const transfer =
       messageCount === undefined ? undefined : { messageCount, endOffset: { logId: 1, sequence: 1 } };
     const term = fencingToken;
-    const messages: PeerMessage[] = jobBatches.map((jobs) => ({ kind: 'cancellations', round, term, jobs }));
+    const messages: PeerMessage[] = jobBatches.map((jobs) => ({
+      kind: 'cancellations',
+      round,
+      term,
+      cancelledJobs: jobs,
+    }));
     const vote: PeerMessage = { kind: 'leaseVote', round, term, isGranted: true, transfer };
     for (const message of arrivesFirst === 'batches' ? [...messages, vote] : [vote, ...messages])
       fixture.receive(message);
     assert.equal(fixture.merged.length, mergedCount, name);
-    assert.equal(fixture.watermark.mayAnswer(fixture.clock.steadyMs()), isAdvanced, name);
+    assert.equal(fixture.watermark.mayAnswerHeartbeats(fixture.clock.steadyMs()), isAdvanced, name);
     assert.ok(fixture.term()!.authority.isValid(fixture.clock.steadyMs()), name);
   }
 });
--- a/test/golden/controller-harness.ts
+++ b/test/golden/controller-harness.ts
@@ -165,11 +165,13 @@
     // Reads of the state store are not recorded, as the forms must not depend on how often they happen.
     if (!isStateStoreCall || method !== 'GET') this.calls.push(formatCall(call));
     return new Promise((resolve, reject) => {
-      const cancelTimeout = this.clock.after(timeoutMs, () => reject(new CallError('unclear', 'timed out')));
+      const cancelTimeout = this.clock.setTimer(timeoutMs, () =>
+        reject(new CallError('unclear', 'timed out')),
+      );
       const deliverResponse = (response: HttpResponse | undefined): void => {
         if (!response) return;
         cancelTimeout();
-        this.clock.after(RESPONSE_DELAY_MS, () => resolve(response));
+        this.clock.setTimer(RESPONSE_DELAY_MS, () => resolve(response));
       };
       if (isStateStoreCall)
         void this.stateStore.handle('hearth-0', method, target, body).then(deliverResponse);
--- a/test/golden/peer-connection.test.ts
+++ b/test/golden/peer-connection.test.ts
@@ -17,7 +17,7 @@
 const STATUS_MESSAGE: PeerMessage = { kind: 'status', isEligible: true, relayTarget: 'hearth-1' };
 
 /** A clock whose timers never fire, so that no message is repeated and no timer keeps the process alive after a test. */
-const STOPPED_CLOCK: Clock = { steadyMs: () => 0, wallMs: () => 0, after: () => () => undefined };
+const STOPPED_CLOCK: Clock = { steadyMs: () => 0, wallMs: () => 0, setTimer: () => () => undefined };
 
 const frameForms = readForms(new URL('./forms/peer-frames.json', import.meta.url));
 
--- a/test/golden/peer-frames.test.ts
+++ b/test/golden/peer-frames.test.ts
@@ -52,12 +52,12 @@
     kind: 'cancellations',
     round: 2,
     term: 12,
-    jobs: [
+    cancelledJobs: [
       { key: jobKey('job-000001'), value: CANCELLED_JOB_VALUE, modRevision: 401 },
       { key: jobKey('job-000002'), value: CANCELLED_JOB_VALUE, modRevision: LARGE_INTEGER },
     ],
   },
-  'cancellations, none': { kind: 'cancellations', round: 2, term: 12, jobs: [] },
+  'cancellations, none': { kind: 'cancellations', round: 2, term: 12, cancelledJobs: [] },
   'promise, informs of nothing': {
     kind: 'leaseVote',
     round: 2,
@@ -154,7 +154,7 @@
   'ask, no id': [{ kind: 'ask', term: 1 }, undefined],
   'cancellations, later fields': [
     { kind: 'cancellations', id: 2, term: 12, rows: [{ key: 'k', value: {}, stamp: 5, later: 1 }], later: 1 },
-    { kind: 'cancellations', round: 2, term: 12, jobs: [{ key: 'k', value: {}, modRevision: 5 }] },
+    { kind: 'cancellations', round: 2, term: 12, cancelledJobs: [{ key: 'k', value: {}, modRevision: 5 }] },
   ],
   'cancellations, a row without stamp': [
     { kind: 'cancellations', id: 2, term: 12, rows: [{ key: 'k', value: {} }] },
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -204,7 +204,7 @@
     kind: 'cancellations',
     round: 2,
     term: 12,
-    jobs: [
+    cancelledJobs: [
       {
         key: records.jobKey('job-000001'),
         value: records.encodeJob(JOBS['cancelled, description still there']!),
--- a/test/golden/worker-answers.test.ts
+++ b/test/golden/worker-answers.test.ts
@@ -81,7 +81,7 @@
   // The leader keeps sending heartbeats, so that no other controller is elected.
   const sendLeaderHeartbeats = (): void => {
     harness.receiveFromPeer('hearth-1', { kind: 'heartbeat' });
-    harness.clock.after(PEER_HEARTBEAT_INTERVAL_MS, sendLeaderHeartbeats);
+    harness.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, sendLeaderHeartbeats);
   };
   sendLeaderHeartbeats();
   forms.check('relayed, no answer', await harness.sendRequest('POST', '/v1/report', HEARTBEAT_BODY));
--- a/test/peers/peer-codec.test.ts
+++ b/test/peers/peer-codec.test.ts
@@ -13,7 +13,7 @@
     { kind: 'relayed', id: 1, status: 200, body: '{}' },
     { kind: 'leaseVoteRequest', round: 1, term: 2, sinceRevision: 5, offset: { logId: 3, sequence: 4 } },
     { kind: 'leaseVoteRequest', round: 1, term: 2, sinceRevision: undefined, offset: undefined },
-    { kind: 'cancellations', round: 1, term: 2, jobs: [{ key: 'k', value: {}, modRevision: 5 }] },
+    { kind: 'cancellations', round: 1, term: 2, cancelledJobs: [{ key: 'k', value: {}, modRevision: 5 }] },
     {
       kind: 'leaseVote',
       round: 1,
--- a/test/peers/peer-transport.test.ts
+++ b/test/peers/peer-transport.test.ts
@@ -20,7 +20,7 @@
     const clock: Clock = {
       steadyMs: () => nowMs,
       wallMs: () => nowMs,
-      after: (ms, run) => {
+      setTimer: (ms, run) => {
         if (/dial/.test(run.toString())) redialDelaysMs.push(ms);
         return () => undefined;
       },
--- a/test/pipeline/dependent-jobs.test.ts
+++ b/test/pipeline/dependent-jobs.test.ts
@@ -90,7 +90,7 @@
         jobs.every(({ uid }) => day.rules.jobs.get(uid)!.accepted);
       const runOnceAccepted = (jobs: SimJob[], run: () => void): void => {
         if (areAccepted(jobs)) run();
-        else day.clock.after(200, () => runOnceAccepted(jobs, run));
+        else day.clock.setTimer(200, () => runOnceAccepted(jobs, run));
       };
       runOnceAccepted([firstJob], () => {
         const middleJobs = [0, 1].map(() =>
@@ -108,10 +108,10 @@
             // In some pipelines the last job is submitted only after the others have ended.
             const submitLastJob = (): void =>
               void lastJobs.push(day.submit({ tasks: 2, cpus: 1, runS: 3, dueS: 90, dependencies }));
-            if (i % 4 === 3) day.clock.after(45_000, submitLastJob);
+            if (i % 4 === 3) day.clock.setTimer(45_000, submitLastJob);
             else submitLastJob();
             if (i % 5 === 2)
-              day.clock.after(4_000 + day.random() * 20_000, () => void day.cancel(firstJob.uid));
+              day.clock.setTimer(4_000 + day.random() * 20_000, () => void day.cancel(firstJob.uid));
           });
         });
       });
--- a/test/read-consistency.test.ts
+++ b/test/read-consistency.test.ts
@@ -66,23 +66,23 @@
         const submit = async (): Promise<void> => {
           const response = await deployment.askOne(member, 'POST', '/submissions', deployment.wireOf(job));
           if (parsePhase(response) === undefined)
-            return void deployment.clock.after(1000, () => void submit());
+            return void deployment.clock.setTimer(1000, () => void submit());
           deployment.rules.recordSubmissionResponse(job.uid, response!.status);
           requestFromAllMembers(deployment, job, NOT_CANCELLED_PHASES, observedPhases);
-          if (shouldCancel) deployment.clock.after(second % 2 ? 1 : 6000, () => void cancel());
+          if (shouldCancel) deployment.clock.setTimer(second % 2 ? 1 : 6000, () => void cancel());
           else await pollUntilDone();
         };
         const cancel = async (): Promise<void> => {
           deployment.rules.recordCancelRequest(job.uid);
           const response = await deployment.askOne(member, 'POST', `/submissions/${job.uid}/abort`);
           const phase = parsePhase(response);
-          if (phase === undefined) return void deployment.clock.after(1000, () => void cancel());
+          if (phase === undefined) return void deployment.clock.setTimer(1000, () => void cancel());
           deployment.rules.recordStatusResponse(job.uid, response!.status, phase);
           requestFromAllMembers(deployment, job, ['withdrawn'], observedPhases);
         };
         const pollUntilDone = async (): Promise<void> => {
           const phase = parsePhase(await deployment.askOne(member, 'GET', `/submissions/${job.uid}`));
-          if (phase !== 'done') return void deployment.clock.after(100, () => void pollUntilDone());
+          if (phase !== 'done') return void deployment.clock.setTimer(100, () => void pollUntilDone());
           deployment.rules.recordStatusResponse(job.uid, 200, phase);
           requestFromAllMembers(deployment, job, ['done'], observedPhases);
         };
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -292,7 +292,7 @@
     const duplicateReports = (): void => {
       for (const host of deployment.cloud.hosts.keys())
         deployment.network.duplicateRequests(host, () => 5_000 + ((duplicateCount++ * 7_919) % 30_000));
-      deployment.clock.after(500, duplicateReports);
+      deployment.clock.setTimer(500, duplicateReports);
     };
     duplicateReports();
   });
--- a/test/state/transaction-batcher.test.ts
+++ b/test/state/transaction-batcher.test.ts
@@ -75,7 +75,7 @@
       // A process starts without an accumulated budget.
       await clock.runUntil(5_000);
       let count = 0;
-      for (; client.writeRateLimiter.waitMs(1) === 0; count++) client.writeRateLimiter.consume(1);
+      for (; client.writeRateLimiter.computeWaitMs(1) === 0; count++) client.writeRateLimiter.consume(1);
       return count;
     };
     const [followerBurst, leaderBurst] = [await measureBurst(false), await measureBurst(true)];
