--- a/packages/duties/src/candidacy-schedule.ts
+++ b/packages/duties/src/candidacy-schedule.ts
@@ -74,7 +74,7 @@
     const { leaderTracker } = this.options;
     const currentLeader = leaderTracker.currentLeader();
     const observedSinceMs = leaderTracker.observedSinceMs;
-    if (!currentLeader?.delegates || observedSinceMs === undefined) return Infinity;
+    if (!currentLeader?.delegatesCloudCalls || observedSinceMs === undefined) return Infinity;
     const isPreferredHolder = leaderTracker.isSelf(currentLeader) && LEADER_PREFERRED_ROLES.includes(role);
     return observedSinceMs + (isPreferredHolder ? 0 : NEW_TERM_CANDIDACY_DELAY_MS);
   }
--- a/packages/duties/src/holder-records.ts
+++ b/packages/duties/src/holder-records.ts
@@ -10,7 +10,7 @@
 const FENCING_TOKEN_KEY_PREFIX = 'ph/duty-token/';
 
 /** The key of a role's holder. It exists while some process holds the role. */
-export const holderKey = (role: Role): string => HOLDER_KEY_PREFIX + role;
+export const roleHolderKey = (role: Role): string => HOLDER_KEY_PREFIX + role;
 
 /** The key of a role's latest fencing token. */
 export const fencingTokenKey = (role: Role): string => FENCING_TOKEN_KEY_PREFIX + role;
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -13,7 +13,7 @@
   encodeFencingToken,
   encodeHolder,
   fencingTokenKey,
-  holderKey,
+  roleHolderKey,
   nextFencingToken,
   type RoleHolderRecord,
 } from './holder-records.js';
--- a/packages/duties/src/intent-executor.ts
+++ b/packages/duties/src/intent-executor.ts
@@ -175,7 +175,7 @@
     const leader = this.options.currentLeader();
     // The intent is void once the term that requested it is over. Under a leader that makes all calls itself, role
     // holders do nothing.
-    if (!leader?.delegates || leader.term !== intent.id.term) return;
+    if (!leader?.delegatesCloudCalls || leader.term !== intent.id.term) return;
     const committedIntent: Intent = { ...intent, state: 'committed', fencingToken: grant.fencingToken };
     this.writeIntent(key, [grant.fence, leader.fence, { key, modRevision }], committedIntent);
   }
@@ -206,7 +206,8 @@
 
   private callCloud({ key, intent }: IndexedIntent): void {
     // A leader of an earlier version ignores intents, and may use the nodes that they name.
-    if (this.options.currentLeader()?.delegates === false || this.rateLimiter.computeWaitMs(1) > 0) return;
+    if (this.options.currentLeader()?.delegatesCloudCalls === false || this.rateLimiter.computeWaitMs(1) > 0)
+      return;
     // This is the last check before the call. If this process was paused, another one may hold the role by now.
     if (!this.options.roleLeases.isLeaseValid()) return;
     this.rateLimiter.consume(1);
@@ -218,7 +219,7 @@
     const { cloudProvider } = this.options;
     return intent.role === 'rent'
       ? cloudProvider.launch(toLaunchRequest(intent))
-      : cloudProvider.terminate(intent.names);
+      : cloudProvider.terminate(intent.nodeNames);
   }
 
   private onCloudCallEnded(key: string, result: CallResult): void {
@@ -233,7 +234,7 @@
    */
   private checkResponsiveness(result: CallResult): void {
     const nowMs = this.nowMs();
-    const isUnanswered = result.kind === 'unknown' && !result.answered;
+    const isUnanswered = result.kind === 'unknown' && !result.isAnswered;
     this.unresponsiveSinceMs = isUnanswered ? Math.min(this.unresponsiveSinceMs, nowMs) : Infinity;
     if (nowMs - this.unresponsiveSinceMs < CLOUD_UNRESPONSIVE_TIMEOUT_MS) return;
     this.unresponsiveSinceMs = Infinity;
@@ -246,6 +247,6 @@
   if (result.kind === 'launched')
     return { ...intent, state: 'completed', fencingToken, outcome: { names: result.names } };
   if (result.kind === 'refused')
-    return { ...intent, state: 'completed', fencingToken, outcome: { refused: result.reason } };
+    return { ...intent, state: 'completed', fencingToken, outcome: { refusalReason: result.reason } };
   return { ...intent, state: 'completed', fencingToken };
 }
--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -84,7 +84,7 @@
   }
 
   /** Returns the intents that earlier terms have irrevocably begun. Call it when the term begins. */
-  inheritedIntents(): InheritedIntents {
+  listInheritedIntents(): InheritedIntents {
     return collectInheritedIntents(
       this.options.intentIndex.listOldestFirst(() => true).map(({ intent }) => intent),
     );
@@ -113,15 +113,15 @@
     return { term: this.options.term, sequence: ++this.sequence };
   }
 
-  private requestLaunch({ name, offering, count }: LaunchRequest): void {
+  private requestLaunch({ requestName, offering, nodeCount }: LaunchRequest): void {
     this.writeIntent({
       id: this.nextIntentId(),
       state: 'requested',
       fencingToken: 0,
       role: 'rent',
-      requestName: name,
+      requestName,
       offering,
-      count,
+      nodeCount,
     });
   }
 
@@ -147,7 +147,7 @@
         state: 'requested',
         fencingToken: 0,
         role,
-        names: namesOfIntent,
+        nodeNames: namesOfIntent,
       });
     }
   }
@@ -203,11 +203,11 @@
 }
 
 function toCompletionEvent(intent: Intent): IntentEvent | undefined {
-  if (intent.role !== 'rent') return { kind: 'terminated', names: intent.names };
+  if (intent.role !== 'rent') return { kind: 'terminated', names: intent.nodeNames };
   const { outcome } = intent;
   if (!outcome) return undefined;
   const request = toLaunchRequest(intent);
   return 'names' in outcome
     ? { kind: 'launched', request, names: outcome.names }
-    : { kind: 'launchRefused', request, reason: outcome.refused };
+    : { kind: 'launchRefused', request, reason: outcome.refusalReason };
 }
--- a/packages/duties/src/intent-records.ts
+++ b/packages/duties/src/intent-records.ts
@@ -36,20 +36,20 @@
     q: intent.id.sequence,
     h: intent.fencingToken,
   };
-  if (intent.role !== 'rent') return { ...commonFields, m: intent.names };
+  if (intent.role !== 'rent') return { ...commonFields, m: intent.nodeNames };
   const { type, zone, spot } = intent.offering;
   const outcome = intent.outcome ? encodeOutcome(intent.outcome) : {};
   return {
     ...commonFields,
     r: intent.requestName,
     o: [type, zone, spot ? 1 : 0],
-    n: intent.count,
+    n: intent.nodeCount,
     ...outcome,
   };
 }
 
 const encodeOutcome = (outcome: LaunchOutcome): object =>
-  'names' in outcome ? { m: outcome.names } : { x: outcome.refused };
+  'names' in outcome ? { m: outcome.names } : { x: outcome.refusalReason };
 
 /**
  * Decodes a stored intent. Returns undefined if the value is not an intent, is stored under the key of another one, or
@@ -70,15 +70,15 @@
   if (intentKey(commonFields.id) !== key) return undefined;
   if (role === 'rent') return decodeLaunchIntent(commonFields, value);
   if (role !== 'return' && role !== 'reclaim') return undefined;
-  return isNonEmptyStringArray(value.m) ? { ...commonFields, role, names: value.m } : undefined;
+  return isNonEmptyStringArray(value.m) ? { ...commonFields, role, nodeNames: value.m } : undefined;
 }
 
 function decodeLaunchIntent(
   commonFields: Omit<IntentBase, 'role'>,
   value: Record<string, unknown>,
 ): LaunchIntent | undefined {
-  const { r: requestName, o: offering, n: count } = value;
-  if (!isNonEmptyString(requestName) || !isNonNegativeInteger(count) || !Array.isArray(offering))
+  const { r: requestName, o: offering, n: nodeCount } = value;
+  if (!isNonEmptyString(requestName) || !isNonNegativeInteger(nodeCount) || !Array.isArray(offering))
     return undefined;
   const [type, zone, spot] = offering as unknown[];
   if (!isNonEmptyString(type) || !isNonEmptyString(zone)) return undefined;
@@ -89,12 +89,12 @@
     role: 'rent',
     requestName,
     offering: { type, zone, spot: spot === 1 },
-    count,
+    nodeCount,
     outcome,
   };
 }
 
-function decodeOutcome({ m: names, x: refused }: Record<string, unknown>): LaunchOutcome | undefined {
+function decodeOutcome({ m: names, x: refusalReason }: Record<string, unknown>): LaunchOutcome | undefined {
   if (isNonEmptyStringArray(names)) return { names };
-  return refused === 'no capacity' || refused === 'trouble' ? { refused } : undefined;
+  return refusalReason === 'no capacity' || refusalReason === 'trouble' ? { refusalReason } : undefined;
 }
--- a/packages/duties/src/intents.ts
+++ b/packages/duties/src/intents.ts
@@ -42,15 +42,15 @@
 export type LaunchRefusalReason = 'no capacity' | 'trouble';
 
 /** The result of a completed launch: either the names of the new nodes, or the reason why there are none. */
-export type LaunchOutcome = { readonly names: string[] } | { readonly refused: LaunchRefusalReason };
+export type LaunchOutcome = { readonly names: string[] } | { readonly refusalReason: LaunchRefusalReason };
 
 /** A request to the cloud for new nodes. */
 export interface LaunchRequest {
   /** Identifies the request at the cloud permanently. A request repeated under the same name launches nothing new. */
-  readonly name: string;
+  readonly requestName: string;
   readonly offering: InstanceOffering;
   /** Number of nodes. */
-  readonly count: number;
+  readonly nodeCount: number;
 }
 
 /** An intent to launch nodes. */
@@ -60,7 +60,7 @@
   readonly requestName: string;
   readonly offering: InstanceOffering;
   /** Number of nodes. */
-  readonly count: number;
+  readonly nodeCount: number;
   /** Present once the intent is completed. */
   readonly outcome?: LaunchOutcome;
 }
@@ -69,7 +69,7 @@
 export interface TerminationIntent extends IntentBase {
   readonly role: TerminationRole;
   /** Names of the nodes. */
-  readonly names: string[];
+  readonly nodeNames: string[];
 }
 
 /** A change that a leader wants made at the cloud. */
@@ -80,8 +80,8 @@
   a.term - b.term || a.sequence - b.sequence;
 
 /** Returns the request to the cloud that executes an intent. */
-export const toLaunchRequest = ({ requestName, offering, count }: LaunchIntent): LaunchRequest => ({
-  name: requestName,
+export const toLaunchRequest = ({ requestName, offering, nodeCount }: LaunchIntent): LaunchRequest => ({
+  requestName,
   offering,
-  count,
+  nodeCount,
 });
--- a/packages/duties/src/leader-tracker.ts
+++ b/packages/duties/src/leader-tracker.ts
@@ -39,7 +39,7 @@
   acceptsTransfers(nowMs: number): boolean {
     const leader = this.readLeader();
     if (!leader || !this.observedTerm) return false;
-    if (this.isSelf(leader) || !leader.delegates) return false;
+    if (this.isSelf(leader) || !leader.delegatesCloudCalls) return false;
     return nowMs - this.observedTerm.sinceMs >= TRANSFER_TO_LEADER_DELAY_MS;
   }
 
--- a/packages/duties/src/leased-roles.ts
+++ b/packages/duties/src/leased-roles.ts
@@ -18,7 +18,7 @@
   readonly cloudProvider: CloudProvider;
   readonly currentLeader: () => CurrentLeader | undefined;
   /** Finds at most `limit` records other than intents that nobody reads any more. */
-  readonly obsoleteRecords: (limit: number) => ObsoleteRecord[];
+  readonly findObsoleteRecords: (limit: number) => ObsoleteRecord[];
   /** Limit of puts and deletes in one transaction of the state store. */
   readonly maxTransactionOperations: number;
   /** Rate limit of the calls to the cloud, by role. */
@@ -58,7 +58,7 @@
   }
 
   /** Lists the roles that this process holds according to its replica. */
-  heldRoles(): RoleGrant[] {
+  listHeldRoles(): RoleGrant[] {
     return ROLES.map((role) => this.actors.leases.currentGrant(role)).filter((grant) => grant !== undefined);
   }
 
@@ -85,7 +85,8 @@
 
   private createActors(): RoleActors {
     const { member, store, currentLeader, clock, random, log } = this.options;
-    const { cloudProvider, cloudRequestsPerSecond, obsoleteRecords, maxTransactionOperations } = this.options;
+    const { cloudProvider, cloudRequestsPerSecond, findObsoleteRecords, maxTransactionOperations } =
+      this.options;
     const onFailure = (): void => this.restart();
     const leases = new RoleLeases({ member, store, currentLeader, clock, random, log }, onFailure);
     const commonOptions = {
@@ -104,7 +105,7 @@
       );
     });
     const garbageCollector = new RecordGarbageCollector(
-      { ...commonOptions, findObsoleteRecords: obsoleteRecords, maxTransactionOperations },
+      { ...commonOptions, findObsoleteRecords, maxTransactionOperations },
       onFailure,
     );
     return { leases, executors, garbageCollector };
--- a/packages/duties/src/ports.ts
+++ b/packages/duties/src/ports.ts
@@ -71,7 +71,7 @@
 export interface UnknownResult {
   readonly kind: 'unknown';
   /** Whether the cloud answered at all. */
-  readonly answered: boolean;
+  readonly isAnswered: boolean;
 }
 
 /** The result of a call that launches nodes. */
@@ -101,5 +101,5 @@
   /**
    * Whether the leader delegates its intents to role holders. A leader of an earlier version makes all calls itself.
    */
-  readonly delegates: boolean;
+  readonly delegatesCloudCalls: boolean;
 }
--- a/packages/duties/src/previous-process-roles.ts
+++ b/packages/duties/src/previous-process-roles.ts
@@ -1,5 +1,5 @@
 /** The roles that a previous process of the same controller still holds when this process starts. */
-import { decodeHolder, holderKey } from './holder-records.js';
+import { decodeHolder, roleHolderKey } from './holder-records.js';
 import type { Revision, RoleStore } from './ports.js';
 import { ROLES, type Role } from './roles.js';
 
@@ -21,7 +21,7 @@
     if (this.holderKeyRevisions) return;
     const holderKeyRevisions = new Map<Role, Revision>();
     for (const role of ROLES) {
-      const stored = this.store.get(holderKey(role));
+      const stored = this.store.get(roleHolderKey(role));
       if (stored && decodeHolder(stored.value)?.member === this.member)
         holderKeyRevisions.set(role, stored.modRevision);
     }
--- a/packages/duties/src/role-acquisition.ts
+++ b/packages/duties/src/role-acquisition.ts
@@ -3,7 +3,7 @@
   encodeFencingToken,
   encodeHolder,
   fencingTokenKey,
-  holderKey,
+  roleHolderKey,
   nextFencingToken,
 } from './holder-records.js';
 import type { LeaseSession } from './lease-session.js';
@@ -33,7 +33,7 @@
   store: Pick<RoleStore, 'get'>,
   { role, member, session }: RoleCandidate,
 ): RoleAcquisition {
-  const holderRecordKey = holderKey(role);
+  const holderRecordKey = roleHolderKey(role);
   const tokenKey = fencingTokenKey(role);
   const storedToken = store.get(tokenKey);
   const fencingToken = nextFencingToken(storedToken);
--- a/packages/duties/src/role-leases.ts
+++ b/packages/duties/src/role-leases.ts
@@ -9,7 +9,7 @@
   ROLE_LEASE_TTL_MS,
 } from './constants.js';
 import { PreviousProcessRoles } from './previous-process-roles.js';
-import { decodeHolder, holderKey } from './holder-records.js';
+import { decodeHolder, roleHolderKey } from './holder-records.js';
 import { LeaderTracker } from './leader-tracker.js';
 import { ClockCheckedLeaseAuthority, type LeaseRenewal } from './lease-authority.js';
 import { LeaseSession } from './lease-session.js';
@@ -99,7 +99,7 @@
    */
   currentGrant(role: Role): RoleGrant | undefined {
     if (!this.session) return undefined;
-    const key = holderKey(role);
+    const key = roleHolderKey(role);
     const stored = this.options.store.get(key);
     const holder = decodeHolder(stored?.value);
     if (!stored || holder?.sessionId !== this.session.id) return undefined;
@@ -157,7 +157,7 @@
   }
 
   private checkRole(role: Role, nowMs: number): void {
-    const stored = this.options.store.get(holderKey(role));
+    const stored = this.options.store.get(roleHolderKey(role));
     if (!stored) {
       this.heldSinceMs.delete(role);
       this.candidacySchedule.recordVacant(role, nowMs);
--- a/scripts/behavior-trace/scenarios.ts
+++ b/scripts/behavior-trace/scenarios.ts
@@ -165,7 +165,7 @@
     name: 'announced lower limits',
     workload: workload.dependentJobWorkload,
     faults: [fault.leaderCrash(50, 1000)],
-    options: { next: { valueBytes: 2048, txnOps: 6 } },
+    options: { next: { valueBytes: 2048, maxTransactionOperations: 6 } },
   },
   {
     name: 'controllers cut from each other in an outage',
--- a/scripts/duties/pauses.ts
+++ b/scripts/duties/pauses.ts
@@ -10,7 +10,7 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { decodeIntent, ROLES, holderKey, type Role } from '@pumicehinge/duties';
+import { decodeIntent, ROLES, roleHolderKey, type Role } from '@pumicehinge/duties';
 import { systemClock } from '@pumicehinge/runtime';
 import { DutyLog, withoutFences } from '../../src/simulation/duty-log.js';
 import { LoopbackCluster } from '../../src/simulation/loopback-cluster.js';
@@ -237,7 +237,7 @@
 function commitsIntent(body: string, role: Role): boolean {
   const { apply = [] } = JSON.parse(body) as { apply?: { put?: string; v?: unknown }[] };
   return apply.some(({ put, v }) => {
-    const intent = put === undefined || put === holderKey(role) ? undefined : decodeIntent(put, v);
+    const intent = put === undefined || put === roleHolderKey(role) ? undefined : decodeIntent(put, v);
     return intent?.role === role && intent.state === 'committed';
   });
 }
--- a/src/api/dependency-list-writer.ts
+++ b/src/api/dependency-list-writer.ts
@@ -1,6 +1,6 @@
 /** Converts the record of a new job to a form that fits into a value of the state store. */
 import { DEPENDENCY_LIST_ID_RANGE, SUBMISSION_TIMEOUT_MS } from '../constants.js';
-import { dependencyListKey, maxJobBytes, splitByBytes, type JobRecord } from '../state/records.js';
+import { dependencyListKey, maxJobBytes, splitByEncodedSize, type JobRecord } from '../state/records.js';
 import type { TransactionBatcher } from '../state/transaction-batcher.js';
 
 /** A record that can be stored, or the reason why there is none. */
@@ -14,7 +14,7 @@
 /** Dependencies of `DependencyListWriter`. */
 export interface DependencyListWriterDependencies {
   /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
-  readonly limits: { readonly valueBytes: number; readonly txnOps: number };
+  readonly limits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
   readonly batcher: TransactionBatcher;
   readonly random: () => number;
 }
@@ -32,7 +32,7 @@
     if (maxJobBytes(record) <= limits.valueBytes) return { kind: 'fits', record };
     if (!record.spec?.dependencies) return { kind: 'tooLong' };
     const { dependencies: dependencyUids, ...description } = record.spec;
-    const parts = splitByBytes(dependencyUids, limits.valueBytes);
+    const parts = splitByEncodedSize(dependencyUids, limits.valueBytes);
     const dependencyList = {
       id: Math.floor(random() * DEPENDENCY_LIST_ID_RANGE).toString(36),
       parts: parts.length,
@@ -44,8 +44,8 @@
       key: dependencyListKey(uid, dependencyList, partIndex),
       value,
     }));
-    for (let firstIndex = 0; firstIndex < keyValues.length; firstIndex += limits.txnOps) {
-      const operations = keyValues.slice(firstIndex, firstIndex + limits.txnOps);
+    for (let firstIndex = 0; firstIndex < keyValues.length; firstIndex += limits.maxTransactionOperations) {
+      const operations = keyValues.slice(firstIndex, firstIndex + limits.maxTransactionOperations);
       const conditions = operations.map(({ key }) => ({ key, modRevision: 0 }));
       const result = await batcher.commitForUser(conditions, operations, SUBMISSION_TIMEOUT_MS);
       if (result.outcome !== 'applied') return { kind: 'notWritten' };
--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -2,7 +2,7 @@
 import { CompletionBitmap } from '../state/completion-bitmap.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import {
-  completionSegmentCount,
+  countCompletionSegments,
   completionSegmentKey,
   decodeJob,
   jobKey,
@@ -83,7 +83,7 @@
   countCompletedTasks(uid: string, record: JobRecord): number {
     if (record.phase === 'done') return record.taskCount;
     let count = countCompletedInSegment(record.taskCount, record.firstCompletionSegment);
-    for (let segment = 1; segment < completionSegmentCount(record.taskCount); segment++) {
+    for (let segment = 1; segment < countCompletionSegments(record.taskCount); segment++) {
       const encoded = this.dependencies.replica.get(completionSegmentKey(uid, segment))?.value;
       if (typeof encoded === 'string') count += countCompletedInSegment(record.taskCount, encoded);
     }
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -32,7 +32,7 @@
   readonly batcher: TransactionBatcher;
   readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
-  readonly limits: { readonly valueBytes: number; readonly txnOps: number };
+  readonly limits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
   readonly random: () => number;
   readonly clock: Clock;
   readonly log: Logger;
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -70,20 +70,28 @@
    * Records how many instances the cloud launched. Fewer than requested mean that the offering has no more instances
    * for now.
    */
-  handleLaunched({ name, offering, count }: LaunchRequest, launchedCount: number, nowMs: number): void {
-    this.pendingLaunches.delete(name);
-    if (launchedCount < count) this.offeringBackoff.recordRefusal(offering, 'no capacity', nowMs);
+  handleLaunched(
+    { requestName, offering, nodeCount }: LaunchRequest,
+    launchedCount: number,
+    nowMs: number,
+  ): void {
+    this.pendingLaunches.delete(requestName);
+    if (launchedCount < nodeCount) this.offeringBackoff.recordRefusal(offering, 'no capacity', nowMs);
   }
 
   /** Records that the cloud launched nothing, and why. */
-  handleLaunchFailed({ name, offering }: LaunchRequest, reason: LaunchRefusalReason, nowMs: number): void {
-    this.pendingLaunches.delete(name);
+  handleLaunchFailed(
+    { requestName, offering }: LaunchRequest,
+    reason: LaunchRefusalReason,
+    nowMs: number,
+  ): void {
+    this.pendingLaunches.delete(requestName);
     this.offeringBackoff.recordRefusal(offering, reason, nowMs);
   }
 
   /** Adopts a launch request of an earlier term that is still being carried out, so that its instances are expected. */
   adoptLaunch(request: LaunchRequest): void {
-    this.pendingLaunches.set(request.name, request);
+    this.pendingLaunches.set(request.requestName, request);
   }
 
   /** Whether the node must not be terminated because headroom relies on it. */
@@ -178,11 +186,11 @@
   private launch({ offering, count }: ScaleOutPlan): void {
     for (let remainingCount = count; remainingCount > 0; remainingCount -= MAX_INSTANCES_PER_LAUNCH) {
       const request: LaunchRequest = {
-        name: `r-${this.dependencies.term}-${++this.launchCount}`,
+        requestName: `r-${this.dependencies.term}-${++this.launchCount}`,
         offering,
-        count: Math.min(remainingCount, MAX_INSTANCES_PER_LAUNCH),
+        nodeCount: Math.min(remainingCount, MAX_INSTANCES_PER_LAUNCH),
       };
-      this.pendingLaunches.set(request.name, request);
+      this.pendingLaunches.set(request.requestName, request);
       this.dependencies.launch(request);
     }
   }
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -95,8 +95,14 @@
 }
 
 /** Encodes the body of a launch request. Repeating a request under the same name launches nothing twice. */
-export function encodeLaunch({ name, offering, count }: LaunchRequest): unknown {
-  return { ask: name, build: offering.type, yard: offering.zone, loaner: offering.spot, howMany: count };
+export function encodeLaunch({ requestName, offering, nodeCount }: LaunchRequest): unknown {
+  return {
+    ask: requestName,
+    build: offering.type,
+    yard: offering.zone,
+    loaner: offering.spot,
+    howMany: nodeCount,
+  };
 }
 
 /** Encodes the body of a request that terminates instances. */
--- a/src/autoscaler/incoming-capacity.ts
+++ b/src/autoscaler/incoming-capacity.ts
@@ -61,10 +61,10 @@
     const incoming: IncomingCapacity[] = [];
     for (const node of this.dependencies.clusterState.nodes.values())
       this.addNodeCapacity(node, nowMs, incoming);
-    for (const { offering, count } of pendingLaunches) {
+    for (const { offering, nodeCount } of pendingLaunches) {
       const free = this.dependencies.capacityOf(offering.type);
       const readyInS = this.getBootTimeS(offering.type) + NODE_START_OVERHEAD_S;
-      for (let i = 0; i < count; i++) incoming.push({ ...offering, free, readyInS, isOccupied: false });
+      for (let i = 0; i < nodeCount; i++) incoming.push({ ...offering, free, readyInS, isOccupied: false });
     }
     return incoming;
   }
--- a/src/autoscaler/provisioner.ts
+++ b/src/autoscaler/provisioner.ts
@@ -10,7 +10,7 @@
   /** Requests the termination of instances. `role` is the leased role that is responsible for it. */
   terminate(role: TerminationRole, names: string[]): void;
   /** Launches and terminations that earlier terms have irrevocably started. */
-  inheritedIntents(): InheritedIntents;
+  listInheritedIntents(): InheritedIntents;
   /** Stops requesting launches and terminations. */
   stop(): void;
 }
@@ -30,8 +30,8 @@
   }
 
   /** Returns no intents, because the instance list shows what an earlier leader requested. */
-  inheritedIntents(): InheritedIntents {
-    return { launching: [], launched: [], terminating: [], terminated: [] };
+  listInheritedIntents(): InheritedIntents {
+    return { launchesInProgress: [], completedLaunches: [], nodesBeingTerminated: [], terminatedNodes: [] };
   }
 
   /** Does nothing, because the leader owns the cloud client and stops it. */
--- a/src/cluster/node-records.ts
+++ b/src/cluster/node-records.ts
@@ -4,7 +4,7 @@
   MAX_INSTANCES_PER_LAUNCH,
   MAX_NODE_RECORD_BYTES,
 } from '../constants.js';
-import { decodeNodeGroup, encodedBytes, NODE_GROUPS_PREFIX, nodeGroupKey } from '../state/records.js';
+import { decodeNodeGroup, measureEncodedBytes, NODE_GROUPS_PREFIX, nodeGroupKey } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 import type { Condition, Operation } from '../state/store-client.js';
 import type { CommitResult } from '../state/transaction-batcher.js';
@@ -166,7 +166,11 @@
     }
     const modRevision = stored?.modRevision ?? 0;
     // The group was created under larger limits, or its nodes have longer names than expected.
-    if (value !== undefined && group.size > 1 && encodedBytes(value) > this.dependencies.maxValueBytes) {
+    if (
+      value !== undefined &&
+      group.size > 1 &&
+      measureEncodedBytes(value) > this.dependencies.maxValueBytes
+    ) {
       this.splitGroup(group, modRevision);
       return;
     }
@@ -177,7 +181,8 @@
 
   private deliverWriteResult({ group, usedNodes }: SplitPart, result: CommitResult): void {
     // A value that the store rejects as malformed would be rejected again, so it is not resent at once.
-    if (result.outcome === 'refused' && result.malformed) group.postponeWrite(MALFORMED_VALUE_RETRY_DELAY_MS);
+    if (result.outcome === 'refused' && result.isMalformed)
+      group.postponeWrite(MALFORMED_VALUE_RETRY_DELAY_MS);
     this.dependencies.onWriteEnded({ group, usedNodes, isApplied: result.outcome === 'applied' });
   }
 
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -22,7 +22,7 @@
 import { DependencyGraph } from './pipeline/dependency-graph.js';
 import type { Settings } from './settings.js';
 import { divideMemory } from './sizing.js';
-import { decodeJobDependencies, isJobKey, jobKey, jobUidOfKey, ROOT_PREFIX } from './state/records.js';
+import { decodeJobDependencies, isJobKey, jobKey, parseJobUid, ROOT_PREFIX } from './state/records.js';
 import { StateReplica } from './state/state-replica.js';
 import { StoreClient } from './state/store-client.js';
 import { TransactionBatcher } from './state/transaction-batcher.js';
@@ -128,7 +128,7 @@
     const graph = new DependencyGraph((uid) => decodeJobDependencies(getValue(jobKey(uid)), getValue));
     this.replica.onChange(({ key, value }) => {
       const dependencies = isJobKey(key) ? decodeJobDependencies(value, getValue) : undefined;
-      if (dependencies) graph.updateJob(jobUidOfKey(key), dependencies);
+      if (dependencies) graph.updateJob(parseJobUid(key), dependencies);
     });
     return graph;
   }
@@ -166,8 +166,8 @@
       store: new ControllerRoleStore(replica, batcher, storeClient),
       cloudProvider: new HttpCloudProvider(httpClient, settings.cloudAddress),
       currentLeader: () => readCurrentLeader(replica),
-      obsoleteRecords: (limit) => findObsoleteRecords(replica, limit),
-      maxTransactionOperations: settings.state.txnOps,
+      findObsoleteRecords: (limit) => findObsoleteRecords(replica, limit),
+      maxTransactionOperations: settings.state.maxTransactionOperations,
       cloudRequestsPerSecond: {
         rent: usableRequestsPerSecond * cloudRateShares.rent,
         return: usableRequestsPerSecond * cloudRateShares.return,
@@ -185,7 +185,7 @@
       settings,
       cancellationWatermark: this.cancellationWatermark,
       jobDependencies: this.jobDependencies,
-      isStateStoreAvailable: () => !this.storeClient.isFailing,
+      isStateStoreAvailable: () => !this.storeClient.hasLastCallFailed,
       replica: this.replica,
       transactionBatcher: this.batcher,
       httpClient,
@@ -231,7 +231,7 @@
       clock,
       log,
       runningTaskCount: (uid) => this.runningTaskCounts.getCount(uid),
-      isStoreAvailable: () => this.storeClient.isServed,
+      isStoreAvailable: () => this.storeClient.isStoreAvailable,
       isHealthy: () => this.election.leaderView.isHealthy,
       isShortOfMemory: () => this.memoryGuard.isUnderPressure,
       routeHeartbeat: (heartbeat, body, respond) => this.heartbeatRouter.route(heartbeat, body, respond),
--- a/src/duties/controller-role-store.ts
+++ b/src/duties/controller-role-store.ts
@@ -23,7 +23,7 @@
 
   /** Whether the replica is loaded and the state store serves this process. */
   isReady(): boolean {
-    return this.replica.isLoaded && this.client.isServed;
+    return this.replica.isLoaded && this.client.isStoreAvailable;
   }
 
   /** Returns the key as the replica has it, or undefined if the replica has no such key. */
--- a/src/duties/delegated-provisioner.ts
+++ b/src/duties/delegated-provisioner.ts
@@ -49,8 +49,8 @@
   }
 
   /** Returns the intents that earlier terms have irrevocably begun. */
-  inheritedIntents(): InheritedIntents {
-    return this.intents.inheritedIntents();
+  listInheritedIntents(): InheritedIntents {
+    return this.intents.listInheritedIntents();
   }
 
   /** Closes the intent log. Role holders still execute the recorded intents. */
@@ -59,8 +59,8 @@
   }
 
   /** Records an intent to launch nodes. */
-  launch({ name, offering, count }: LaunchRequest): void {
-    this.intents.send({ kind: 'launch', request: { name, offering, count } });
+  launch({ requestName, offering, nodeCount }: LaunchRequest): void {
+    this.intents.send({ kind: 'launch', request: { requestName, offering, nodeCount } });
   }
 
   /** Records an intent to terminate nodes. */
--- a/src/duties/http-cloud-provider.ts
+++ b/src/duties/http-cloud-provider.ts
@@ -23,10 +23,10 @@
   /** Launches nodes. Never rejects. The result is unknown if there is no answer. */
   async launch(request: LaunchRequest): Promise<LaunchResult> {
     const response = await this.post(LAUNCH_TARGET, encodeLaunch(request));
-    if (response?.status === 200) return decodeLaunchResult(response.body, request.count);
+    if (response?.status === 200) return decodeLaunchResult(response.body, request.nodeCount);
     if (response?.status === 503 || response?.status === 400)
       return { kind: 'refused', reason: decodeRefusalReason(response.body) };
-    return { kind: 'unknown', answered: response !== undefined };
+    return { kind: 'unknown', isAnswered: response !== undefined };
   }
 
   /** Terminates nodes. Never rejects. The result is unknown if there is no answer. */
@@ -34,7 +34,7 @@
     const response = await this.post(TERMINATE_TARGET, encodeTermination(names));
     return response?.status === 200
       ? { kind: 'terminated' }
-      : { kind: 'unknown', answered: response !== undefined };
+      : { kind: 'unknown', isAnswered: response !== undefined };
   }
 
   private async post(target: string, body: unknown): Promise<HttpResponse | undefined> {
--- a/src/duties/obsolete-records.ts
+++ b/src/duties/obsolete-records.ts
@@ -5,7 +5,7 @@
   decodeJob,
   DEPENDENCY_LISTS_PREFIX,
   jobKey,
-  jobUidOfDetailKey,
+  parseJobUidOfDetail,
 } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 
@@ -35,7 +35,7 @@
   detailKey: string,
   prefix: string,
 ): ObsoleteRecord['conditions'][number] | undefined {
-  const key = jobKey(jobUidOfDetailKey(detailKey));
+  const key = jobKey(parseJobUidOfDetail(detailKey));
   const stored = replica.get(key);
   const job = decodeJob(stored?.value);
   if (!stored || !job || job.spec) return undefined;
--- a/src/election/campaign.ts
+++ b/src/election/campaign.ts
@@ -59,7 +59,7 @@
     const fencingToken = decodeTerm(latestTerm?.value) + 1;
     const leaseRequestedAtMs = nowMs();
     const leaseId = await storeClient.grantLease(LEADER_LEASE_TTL_MS);
-    const leaderValue = encodeLeader({ member, term: fencingToken, delegates: delegatesRoles });
+    const leaderValue = encodeLeader({ member, term: fencingToken, delegatesCloudCalls: delegatesRoles });
     const transactionResult = await storeClient.compareAndSwap(
       [
         { key: LEADER_KEY, modRevision: 0 },
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -142,7 +142,9 @@
 
   private tickIntervalMs(): number {
     if (this.role.kind !== 'leader') return CAMPAIGN_JITTER_MS;
-    return this.options.storeClient.isFailing ? LEASE_VOTE_REQUEST_INTERVAL_MS : LEADER_LEASE_RENEWAL_MS;
+    return this.options.storeClient.hasLastCallFailed
+      ? LEASE_VOTE_REQUEST_INTERVAL_MS
+      : LEADER_LEASE_RENEWAL_MS;
   }
 
   private onTick(): void {
@@ -221,7 +223,7 @@
     this.role = { kind: 'leader', term, lease, electedAtMs: this.nowMs() };
     replica.applyOwnWrite(LEADER_KEY, leaderValue, transactionResult.revision);
     replica.applyOwnWrite(TERM_KEY, encodeTerm(fencingToken), transactionResult.revision);
-    storeClient.setLeading(true);
+    storeClient.setIsLeader(true);
     this.log.info({ term: fencingToken }, 'leadership acquired');
     callbacks.onElected(term);
   }
@@ -233,7 +235,7 @@
         this.send({ kind: 'leaseRenewalAnswered', leaseId: lease.id, requestedAtMs, isAlive }),
       onFailed: () => this.send({ kind: 'leaseRenewalFailed' }),
     });
-    if (this.options.storeClient.isFailing) this.voteCollector.requestVotes(term, requestedAtMs);
+    if (this.options.storeClient.hasLastCallFailed) this.voteCollector.requestVotes(term, requestedAtMs);
   }
 
   private onLeaseRenewalAnswered(leaseId: WireInt, requestedAtMs: number, isAlive: boolean): void {
@@ -261,7 +263,7 @@
   private loseLeadership({ term, lease }: LeaderRole, reason: string): void {
     const { storeClient, callbacks } = this.options;
     term.authority.revoke();
-    storeClient.setLeading(false);
+    storeClient.setIsLeader(false);
     this.role = FOLLOWER;
     this.voteCollector.abandonRound();
     this.log.info({ term: term.fencingToken, reason }, 'leadership lost');
--- a/src/election/leader-view.ts
+++ b/src/election/leader-view.ts
@@ -12,7 +12,7 @@
   /** Zone of this controller. */
   readonly zone: string;
   readonly peers: readonly Peer[];
-  readonly storeClient: Pick<StoreClient, 'isServed'>;
+  readonly storeClient: Pick<StoreClient, 'isStoreAvailable'>;
   readonly replica: Pick<StateReplica, 'get' | 'isLoaded'>;
   readonly failureDetector: PeerFailureDetector;
 }
@@ -40,13 +40,15 @@
   get isLeaderInfoFresh(): boolean {
     const leader = this.getKnownLeader();
     if (leader === undefined) return false;
-    return this.dependencies.storeClient.isServed || this.dependencies.failureDetector.isAlive(leader);
+    return (
+      this.dependencies.storeClient.isStoreAvailable || this.dependencies.failureDetector.isAlive(leader)
+    );
   }
 
   /** Whether there is certainly no leader at present, so that a new one can be expected soon. */
   get isLeaderless(): boolean {
     const { replica, storeClient } = this.dependencies;
-    return replica.isLoaded && storeClient.isServed && this.getKnownLeader() === undefined;
+    return replica.isLoaded && storeClient.isStoreAvailable && this.getKnownLeader() === undefined;
   }
 
   /**
@@ -58,7 +60,7 @@
   get isHealthy(): boolean {
     const { replica, storeClient, peers, failureDetector } = this.dependencies;
     if (!replica.isLoaded) return false;
-    if (storeClient.isServed || peers.length === 0) return true;
+    if (storeClient.isStoreAvailable || peers.length === 0) return true;
     return failureDetector.hasAlivePeer() && !failureDetector.hasEligiblePeer();
   }
 
--- a/src/election/lease-vote-collector.ts
+++ b/src/election/lease-vote-collector.ts
@@ -12,7 +12,7 @@
 /** Dependencies of `LeaseVoteCollector`. */
 export interface LeaseVoteCollectorDependencies {
   readonly peers: readonly Peer[];
-  readonly replica: Pick<StateReplica, 'merge' | 'syncedRevision'>;
+  readonly replica: Pick<StateReplica, 'mergeIfNewer' | 'syncedRevision'>;
   readonly transport: Pick<PeerTransport, 'send'>;
   readonly watermark: CancellationWatermark;
   /** Returns the time of the steady clock in milliseconds. */
@@ -67,7 +67,7 @@
   handleCancellations(member: string, message: CancellationsMessage, term: LeadershipTerm): void {
     const round = this.findOpenRound(message, term);
     if (!round || !message.cancelledJobs.every(isValidCancelledJob)) return;
-    for (const keyValue of message.cancelledJobs) this.dependencies.replica.merge(keyValue);
+    for (const keyValue of message.cancelledJobs) this.dependencies.replica.mergeIfNewer(keyValue);
     this.recordCancellationsMerged(round, member, round.recordCancellations(member));
   }
 
--- a/src/election/status-announcer.ts
+++ b/src/election/status-announcer.ts
@@ -13,7 +13,7 @@
 export interface StatusAnnouncerDependencies {
   readonly peers: readonly Peer[];
   readonly transport: Pick<PeerTransport, 'send'>;
-  readonly storeClient: Pick<StoreClient, 'isServed'>;
+  readonly storeClient: Pick<StoreClient, 'isStoreAvailable'>;
   readonly clock: Clock;
   readonly leaderView: LeaderView;
   readonly failureDetector: PeerFailureDetector;
@@ -33,7 +33,7 @@
   private announce(): void {
     const { peers, transport, storeClient, leaderView, failureDetector, campaignSchedule } =
       this.dependencies;
-    const isEligible = storeClient.isServed && !campaignSchedule.hasRecentlySteppedDown;
+    const isEligible = storeClient.isStoreAvailable && !campaignSchedule.hasRecentlySteppedDown;
     const leader = leaderView.getKnownLeader();
     const relayTarget = leader !== undefined && failureDetector.isAlive(leader) ? leader : null;
     for (const peer of peers) transport.send(peer.member, { kind: 'status', isEligible, relayTarget });
--- a/src/leader/cloud-event-handler.ts
+++ b/src/leader/cloud-event-handler.ts
@@ -38,10 +38,11 @@
   adoptInheritedIntents(): void {
     const { provisioner, fleetReconciler, autoscaler } = this.dependencies;
     const nowMs = this.dependencies.nowMs();
-    const { launching, launched, terminating, terminated } = provisioner.inheritedIntents();
-    fleetReconciler.adoptTerminations(terminating, terminated, nowMs);
-    for (const { names, offering } of launched) this.addLaunchedNodes(names, offering, nowMs);
-    for (const launch of launching) autoscaler.adoptLaunch(launch);
+    const { launchesInProgress, completedLaunches, nodesBeingTerminated, terminatedNodes } =
+      provisioner.listInheritedIntents();
+    fleetReconciler.adoptTerminations(nodesBeingTerminated, terminatedNodes, nowMs);
+    for (const { names, offering } of completedLaunches) this.addLaunchedNodes(names, offering, nowMs);
+    for (const launch of launchesInProgress) autoscaler.adoptLaunch(launch);
   }
 
   /** Applies one event. Every event except a new catalog requests a scheduling cycle. */
--- a/src/leader/cluster-components.ts
+++ b/src/leader/cluster-components.ts
@@ -82,7 +82,7 @@
       replica,
       commit: this.commit,
       objectives: settings.objectives,
-      maxOperations: settings.state.txnOps,
+      maxOperations: settings.state.maxTransactionOperations,
       wallMs: () => clock.wallMs(),
       log,
       onWriteCompleted: (result) => this.mailbox.send({ kind: 'jobWriteEnded', result }),
@@ -173,7 +173,7 @@
       replica,
       termNumber: term.fencingToken,
       maxValueBytes: settings.state.valueBytes,
-      maxOperations: settings.state.txnOps,
+      maxOperations: settings.state.maxTransactionOperations,
       commit: this.commit,
       onWriteEnded: (result) => this.mailbox.send({ kind: 'nodeGroupWriteEnded', result }),
     });
--- a/src/leader/job-store.ts
+++ b/src/leader/job-store.ts
@@ -9,12 +9,12 @@
 import { RunTimeEstimator } from '../pipeline/run-time-estimator.js';
 import {
   JOBS_PREFIX,
-  completionSegmentCount,
+  countCompletionSegments,
   completionSegmentKey,
   decodeJob,
   encodeJob,
   jobKey,
-  jobUidOfKey,
+  parseJobUid,
   readDependencies,
   type JobRecord,
 } from '../state/records.js';
@@ -78,7 +78,7 @@
 
   /** Applies a stored value of a job. An unknown job is added, and a newer value of a known job is merged into it. */
   applyChange({ key, value, modRevision }: KeyChange): void {
-    const uid = jobUidOfKey(key);
+    const uid = parseJobUid(key);
     const record = decodeJob(value);
     if (!record) return;
     const job = this.jobs.get(uid);
@@ -134,7 +134,7 @@
    * its segments are not known yet.
    */
   private mergeCompletionSegments(job: Job): void {
-    for (let segment = 1; segment < completionSegmentCount(job.spec.tasks); segment++) {
+    for (let segment = 1; segment < countCompletionSegments(job.spec.tasks); segment++) {
       const stored = this.dependencies.replica.get(completionSegmentKey(job.uid, segment));
       if (stored) job.persistence.applySegment(segment, stored.value, stored.modRevision);
     }
@@ -177,7 +177,7 @@
     }
     job.persistence.abortWrite(write);
     // A value that the state store rejects as malformed would be rejected again, so it is not resent at once.
-    if (result.outcome === 'refused' && result.malformed) {
+    if (result.outcome === 'refused' && result.isMalformed) {
       job.persistence.postponeWritesUntil(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_DELAY_MS);
       this.dependencies.log.error({ job: job.uid }, 'job write rejected as malformed');
     }
--- a/src/leader/term-reconciliation.ts
+++ b/src/leader/term-reconciliation.ts
@@ -103,7 +103,7 @@
     const record = decodeDelegatedLeases(change.value);
     const previousNames = this.delegatedNodeNamesByKey.get(change.key) ?? [];
     if (record?.term === this.dependencies.fencingToken)
-      this.delegatedNodeNamesByKey.set(change.key, record.nodes);
+      this.delegatedNodeNamesByKey.set(change.key, record.nodeNames);
     else this.delegatedNodeNamesByKey.delete(change.key);
     this.delegatedNodeNames = new Set([...this.delegatedNodeNamesByKey.values()].flat());
     for (const name of previousNames) {
--- a/src/settings-warnings.ts
+++ b/src/settings-warnings.ts
@@ -37,13 +37,13 @@
   return [
     ...checkMinimum(
       'state.rps',
-      state.rps,
+      state.requestsPerSecond,
       roundUp(MIN_FOLLOWER_RPS / followerRequestShare),
       'each controller watches the state store and reads from it for users',
     ),
     ...checkMinimum(
       'state.write_rps',
-      state.writesPerS,
+      state.writesPerSecond,
       roundUp(MIN_LEADER_WRITES_PER_S / leaderWriteShare),
       'the leader writes the records of jobs and machines',
     ),
@@ -55,7 +55,7 @@
     ),
     ...checkMinimum(
       'state.txn_ops',
-      state.txnOps,
+      state.maxTransactionOperations,
       MIN_TRANSACTION_OPERATIONS,
       'a job with many finished tasks needs several writes in one transaction',
     ),
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -44,7 +44,12 @@
    * Limits of the state store. Each one is the lower of the current limit and the announced limit, because what is written
    * must fit both.
    */
-  state: { rps: number; writesPerS: number; valueBytes: number; txnOps: number };
+  state: {
+    requestsPerSecond: number;
+    writesPerSecond: number;
+    valueBytes: number;
+    maxTransactionOperations: number;
+  };
   /** Limit of the requests per second to the cloud, and the seconds by which its list of machines may be out of date. */
   cloud: { rps: number; listLagS: number };
   sockets: SocketShares;
@@ -170,10 +175,10 @@
     leaseS: deployment.workers.lease_s,
     cancelS: deployment.workers.cancel_s,
     state: {
-      rps: tightestLimit('rps'),
-      writesPerS: tightestLimit('write_rps'),
+      requestsPerSecond: tightestLimit('rps'),
+      writesPerSecond: tightestLimit('write_rps'),
       valueBytes: Math.floor(tightestLimit('value_kb') * 1024),
-      txnOps: tightestLimit('txn_ops'),
+      maxTransactionOperations: tightestLimit('txn_ops'),
     },
     cloud: { rps: deployment.cloud.rps, listLagS: deployment.cloud.list_lag_s },
     sockets: shareSockets(deployment.quota.max_connections),
--- a/src/simulation/day.ts
+++ b/src/simulation/day.ts
@@ -41,7 +41,7 @@
    */
   duties?: readonly string[];
   /** Limits of the state service that the settings announce. Default to those that the simulated service enforces. */
-  next?: { valueBytes: number; txnOps: number };
+  next?: { valueBytes: number; maxTransactionOperations: number };
   /** Creates an observer that receives every message. */
   createObserver?: (clock: SimulatedClock) => TrafficObserver;
 }
@@ -98,9 +98,9 @@
     leaseS: LEASE_S,
     cancelS: CANCEL_S,
     state: {
-      rps: rates.rps,
-      writesPerS: rates.writesPerS,
-      ...(options.next ?? { valueBytes: 8192, txnOps: 12 }),
+      requestsPerSecond: rates.rps,
+      writesPerSecond: rates.writesPerS,
+      ...(options.next ?? { valueBytes: 8192, maxTransactionOperations: 12 }),
     },
     cloud: { rps: rates.cloudRps, listLagS: 0 },
     sockets: shareSockets(900),
--- a/src/simulation/duty-log.ts
+++ b/src/simulation/duty-log.ts
@@ -2,7 +2,7 @@
   decodeHolder,
   decodeIntent,
   ROLES,
-  holderKey,
+  roleHolderKey,
   INTENT_KEY_PREFIX,
   type Role,
   type Intent,
@@ -75,12 +75,12 @@
 
   /** The member that holds the role. Undefined if nobody does. */
   holderOf(role: Role): string | undefined {
-    return decodeHolder(this.state.peek(holderKey(role)))?.member;
+    return decodeHolder(this.state.peek(roleHolderKey(role)))?.member;
   }
 
   /** The fencing token of the role's holder. Undefined if nobody holds the role. */
   getFencingToken(role: Role): number | undefined {
-    return decodeHolder(this.state.peek(holderKey(role)))?.fencingToken;
+    return decodeHolder(this.state.peek(roleHolderKey(role)))?.fencingToken;
   }
 
   /** The holder of each role, in the order of ROLES. */
@@ -158,7 +158,7 @@
     const isIntentOfRequest = (intent: Intent): boolean =>
       intent.role === 'rent'
         ? intent.requestName === request.ask
-        : request.hearths?.every((name) => intent.names.includes(name)) === true;
+        : request.hearths?.every((name) => intent.nodeNames.includes(name)) === true;
     const committedIntent = [...this.committedIntents.values()].find(isIntentOfRequest);
     const role = committedIntent?.role ?? (target === '/hosts' ? 'rent' : 'return');
     const holder = this.holderOf(role);
--- a/src/simulation/state-service.ts
+++ b/src/simulation/state-service.ts
@@ -35,7 +35,7 @@
   /** Draws the delay of each request in milliseconds. Undefined if requests are handled without delay. */
   slowMs: (() => number) | undefined;
   /** Limits of one value and one transaction. A transaction beyond them gets a 400. */
-  limits = { valueBytes: 8192, txnOps: 12 };
+  limits = { valueBytes: 8192, maxTransactionOperations: 12 };
   /** Number of transactions that got a 400 because they exceeded the limits. */
   malformed = 0;
   /** Number of requests in each second. */
@@ -172,7 +172,8 @@
       (operation) => JSON.stringify(operation.v ?? null).length > this.limits.valueBytes,
     );
     const hasTooManyItems =
-      operations.length > this.limits.txnOps || (transaction.if ?? []).length > this.limits.txnOps * 4;
+      operations.length > this.limits.maxTransactionOperations ||
+      (transaction.if ?? []).length > this.limits.maxTransactionOperations * 4;
     if (hasLargeValue || hasTooManyItems || JSON.stringify(transaction).length > 65_536) {
       this.malformed++;
       return jsonResponse(400, { error: 'too large' });
--- a/src/state/key-value.ts
+++ b/src/state/key-value.ts
@@ -51,7 +51,7 @@
   /** The keys with their values, sorted by key. */
   readonly keyValues: readonly KeyValue[];
   /** Whether there are keys after this page. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
   /** The store's revision at which the page was read. */
   readonly revision: WireInt;
 }
--- a/src/state/records/completion-segments.ts
+++ b/src/state/records/completion-segments.ts
@@ -6,7 +6,7 @@
 import type { CompletionBitmap } from '../completion-bitmap.js';
 
 /** Returns the number of segments of a job with `taskCount` tasks, which is at least one. */
-export function completionSegmentCount(taskCount: number): number {
+export function countCompletionSegments(taskCount: number): number {
   return Math.max(1, Math.ceil(taskCount / TASKS_PER_COMPLETION_SEGMENT));
 }
 
--- a/src/state/records/delegated-leases.ts
+++ b/src/state/records/delegated-leases.ts
@@ -9,16 +9,16 @@
   /** The leader's term in which the controller began to renew them. */
   readonly term: number;
   /** The names of the nodes. */
-  readonly nodes: readonly string[];
+  readonly nodeNames: readonly string[];
 }
 
 /** Encodes delegated leases. */
-export function encodeDelegatedLeases({ term, nodes }: DelegatedLeasesRecord): unknown {
-  return { t: term, m: nodes };
+export function encodeDelegatedLeases({ term, nodeNames }: DelegatedLeasesRecord): unknown {
+  return { t: term, m: nodeNames };
 }
 
 /** Decodes delegated leases. Returns undefined if the stored form is malformed. */
 export function decodeDelegatedLeases(value: unknown): DelegatedLeasesRecord | undefined {
   if (!isObject(value) || !Array.isArray(value.m)) return undefined;
-  return { term: Number(value.t), nodes: value.m.map(String) };
+  return { term: Number(value.t), nodeNames: value.m.map(String) };
 }
--- a/src/state/records/encoded-size.ts
+++ b/src/state/records/encoded-size.ts
@@ -7,15 +7,15 @@
 const SEPARATOR_BYTES = 1;
 
 /** Returns the number of bytes that a value takes in the state store. */
-export const encodedBytes = (value: unknown): number => Buffer.byteLength(formatJson(value));
+export const measureEncodedBytes = (value: unknown): number => Buffer.byteLength(formatJson(value));
 
 /** Splits a list into parts whose encoded size is at most `maxBytes`. A larger element becomes a part of its own. */
-export function splitByBytes(list: readonly string[], maxBytes: number): string[][] {
+export function splitByEncodedSize(list: readonly string[], maxBytes: number): string[][] {
   const parts: string[][] = [];
   let part: string[] = [];
   let bytes = Infinity;
   for (const text of list) {
-    const textBytes = encodedBytes(text) + SEPARATOR_BYTES;
+    const textBytes = measureEncodedBytes(text) + SEPARATOR_BYTES;
     if (bytes + textBytes > maxBytes) {
       part = [];
       parts.push(part);
--- a/src/state/records/job-record.ts
+++ b/src/state/records/job-record.ts
@@ -2,7 +2,7 @@
 import { isObject } from '../../wire/json.js';
 import { isPositiveInteger } from './checks.js';
 import { maxFirstSegmentLength } from './completion-segments.js';
-import { encodedBytes } from './encoded-size.js';
+import { measureEncodedBytes } from './encoded-size.js';
 import { decodeJobSpec, encodeJobSpec, type JobSpec } from './job-spec.js';
 
 /** Whether a job is unfinished, done or cancelled. */
@@ -77,5 +77,5 @@
 /** Returns the maximum size in bytes of a job's stored value, however many of its tasks are completed. */
 export function maxJobBytes(record: JobRecord): number {
   const withoutBitmap = encodeJob({ ...record, firstCompletionSegment: '', finishedMs: record.acceptedMs });
-  return encodedBytes(withoutBitmap) + maxFirstSegmentLength(record.taskCount);
+  return measureEncodedBytes(withoutBitmap) + maxFirstSegmentLength(record.taskCount);
 }
--- a/src/state/records/keys.ts
+++ b/src/state/records/keys.ts
@@ -29,7 +29,7 @@
 export const isJobKey = (key: string): boolean => key.startsWith(JOBS_PREFIX);
 
 /** Returns the uid of the job with this key. */
-export const jobUidOfKey = (key: string): string => key.slice(JOBS_PREFIX.length);
+export const parseJobUid = (key: string): string => key.slice(JOBS_PREFIX.length);
 
 /** Returns the key of a segment of a job's completion bitmap. Segment 0 has no key of its own. */
 export const completionSegmentKey = (uid: string, segment: number): string =>
@@ -40,7 +40,7 @@
   `${DEPENDENCY_LISTS_PREFIX}${uid}/${list.id}-${part}`;
 
 /** Returns the uid of the job to which the key of a completion segment or of a dependency list belongs. */
-export const jobUidOfDetailKey = (key: string): string => key.split('/')[2] ?? '';
+export const parseJobUidOfDetail = (key: string): string => key.split('/')[2] ?? '';
 
 /** Returns the key of a group of nodes. */
 export const nodeGroupKey = (name: string): string => NODE_GROUPS_PREFIX + name;
--- a/src/state/records/leader-record.ts
+++ b/src/state/records/leader-record.ts
@@ -8,16 +8,16 @@
   /** The number of the leader's term. */
   readonly term: number;
   /** Whether the leader delegates its calls to the cloud to the holders of leased roles. Earlier versions never do. */
-  readonly delegates: boolean;
+  readonly delegatesCloudCalls: boolean;
 }
 
 /** Encodes the leader. */
-export function encodeLeader({ member, term, delegates }: LeaderRecord): unknown {
-  return { member, term, ...(delegates ? { delegates: true } : {}) };
+export function encodeLeader({ member, term, delegatesCloudCalls }: LeaderRecord): unknown {
+  return { member, term, ...(delegatesCloudCalls ? { delegates: true } : {}) };
 }
 
 /** Decodes the leader. Returns undefined if the stored form is malformed. */
 export function decodeLeader(value: unknown): LeaderRecord | undefined {
   if (!isObject(value) || typeof value.member !== 'string') return undefined;
-  return { member: value.member, term: Number(value.term), delegates: value.delegates === true };
+  return { member: value.member, term: Number(value.term), delegatesCloudCalls: value.delegates === true };
 }
--- a/src/state/state-replica.ts
+++ b/src/state/state-replica.ts
@@ -118,7 +118,7 @@
   }
 
   /** Merges a value that another controller has read or written. A newer value in the replica is kept. */
-  merge(keyValue: KeyValue): void {
+  mergeIfNewer(keyValue: KeyValue): void {
     this.apply(keyValue);
   }
 
@@ -163,7 +163,7 @@
       firstRevision ??= page.revision;
       for (const keyValue of page.keyValues) listedKeyValues.set(keyValue.key, keyValue);
       lastKey = page.keyValues.at(-1)?.key;
-      if (!page.more || lastKey === undefined) break;
+      if (!page.hasMore || lastKey === undefined) break;
     }
     this.applyListing(listedKeyValues, firstRevision);
     this.areKeysLoaded = true;
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -35,11 +35,11 @@
 /** The limits of the state store, which all controllers share. */
 export interface StoreLimits {
   /** Requests per second. */
-  readonly rps: number;
+  readonly requestsPerSecond: number;
   /** Operations per second, summed over all transactions. */
-  readonly writesPerS: number;
+  readonly writesPerSecond: number;
   /** Limit of operations in one transaction. */
-  readonly txnOps: number;
+  readonly maxTransactionOperations: number;
 }
 
 /** Dependencies and settings of `StoreClient`. */
@@ -76,12 +76,12 @@
   /** Time of the steady clock since which no call has been served. Infinity while calls are served. */
   private failingSinceMs = Infinity;
 
-  /** Creates a client with the rate limits of a follower. `setLeading` changes them. */
+  /** Creates a client with the rate limits of a follower. `setIsLeader` changes them. */
   constructor(private readonly options: StoreClientOptions) {
     this.limits = options.limits;
     this.requestRateLimiter = new RateLimiter(options.clock, 0);
     this.writeRateLimiter = new RateLimiter(options.clock, 0);
-    this.setLeading(false);
+    this.setIsLeader(false);
   }
 
   /**
@@ -89,29 +89,29 @@
    * limit is reserved for the leader and the rest is split evenly. A new leader has no accumulated budget, so all
    * controllers together stay within the limits during a change of leader.
    */
-  setLeading(isLeading: boolean): void {
+  setIsLeader(isLeading: boolean): void {
     const { limits, controllerCount } = this.options;
     const share = (leaderShare: number): number =>
       STATE_RATE_SHARE * ((1 - leaderShare) / controllerCount + (isLeading ? leaderShare : 0));
-    this.requestRateLimiter.setRate(limits.rps * share(LEADER_REQUEST_RATE_SHARE));
+    this.requestRateLimiter.setRate(limits.requestsPerSecond * share(LEADER_REQUEST_RATE_SHARE));
     // A follower may write in bursts, because a user who submits a pipeline sends several jobs in a row to one
     // controller. The other followers write little meanwhile.
     const burstS = isLeading ? 1 : FOLLOWER_WRITE_BURST_S;
-    this.writeRateLimiter.setRate(limits.writesPerS * share(LEADER_WRITE_RATE_SHARE), burstS);
+    this.writeRateLimiter.setRate(limits.writesPerSecond * share(LEADER_WRITE_RATE_SHARE), burstS);
   }
 
   /** Time of the steady clock at which the last served call ended. It is -Infinity before the first one. */
-  get lastServedMs(): number {
+  get lastServedCallMs(): number {
     return this.lastCallServedMs;
   }
 
   /** Whether the last call that ended was not served by the store. */
-  get isFailing(): boolean {
+  get hasLastCallFailed(): boolean {
     return this.failingSinceMs < Infinity;
   }
 
   /** Whether the store probably serves this controller. A single lost call does not count as a failure. */
-  get isServed(): boolean {
+  get isStoreAvailable(): boolean {
     const nowMs = this.options.clock.steadyMs();
     if (nowMs - this.failingSinceMs > STATE_UNAVAILABLE_AFTER_MS) return false;
     return nowMs - this.lastCallServedMs < WATCH_WAIT_MS + WATCH_GRACE_MS + STATE_UNAVAILABLE_AFTER_MS;
--- a/src/state/store-codec.ts
+++ b/src/state/store-codec.ts
@@ -63,7 +63,7 @@
   const rows = Array.isArray(body.rows) ? body.rows : [];
   return {
     keyValues: rows.filter(isObject).map(decodeKeyValue),
-    more: body.more === true,
+    hasMore: body.more === true,
     revision: requireWireInt(body, 'epoch'),
   };
 }
--- a/src/state/transaction-batcher.ts
+++ b/src/state/transaction-batcher.ts
@@ -89,7 +89,7 @@
   /** Takes the writes of the next transaction off the queue. Writes past their deadline are refused. */
   private takeNextBatch(): readonly PendingWrite[] {
     const nowMs = this.clock.steadyMs();
-    const batch = new WriteBatch(this.client.limits.txnOps);
+    const batch = new WriteBatch(this.client.limits.maxTransactionOperations);
     const deferredWrites: PendingWrite[] = [];
     for (const write of this.queue) {
       if (write.deadlineMs <= nowMs) write.resolve({ outcome: 'refused' });
@@ -117,7 +117,7 @@
           // A write is malformed or names an expired lease, so a retry does not help. Sending each write alone
           // identifies the faulty one.
           if (batch.length > 1) for (const write of batch) await this.send([write]);
-          else for (const write of batch) write.resolve({ outcome: 'refused', malformed: true });
+          else for (const write of batch) write.resolve({ outcome: 'refused', isMalformed: true });
           return;
         }
         this.queue.unshift(...batch);
--- a/src/state/write-batch.ts
+++ b/src/state/write-batch.ts
@@ -11,7 +11,7 @@
    * The write was not executed, because the store did not accept it in time or the queue was full. If `malformed` is
    * true, the store will never accept it.
    */
-  | { readonly outcome: 'refused'; readonly malformed?: boolean }
+  | { readonly outcome: 'refused'; readonly isMalformed?: boolean }
   /** The write may have been executed, or may be executed later. Only a new read of its keys can tell. */
   | { readonly outcome: 'unclear' };
 
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -222,7 +222,7 @@
       { key: LEADER_KEY, modRevision: revision },
       { key, modRevision: replica.get(key)?.modRevision ?? 0 },
     ];
-    const operations = [{ key, value: encodeDelegatedLeases({ term, nodes }) }];
+    const operations = [{ key, value: encodeDelegatedLeases({ term, nodeNames: nodes }) }];
     return batcher.commit(conditions, operations, LEASE_PROXY_READ_VALIDITY_MS);
   }
 
--- a/test/autoscaler/cloud-client.test.ts
+++ b/test/autoscaler/cloud-client.test.ts
@@ -28,7 +28,7 @@
   for (let i = 0; i < 5; i++)
     cloud.send({
       kind: 'launch',
-      request: { name: `r-${i}`, offering: { type: 'm', zone: 'z', spot: false }, count: 1 },
+      request: { requestName: `r-${i}`, offering: { type: 'm', zone: 'z', spot: false }, nodeCount: 1 },
     });
   await clock.runUntil(100);
   const callCountBefore = requestedTargets.length;
--- a/test/cluster/node-records.test.ts
+++ b/test/cluster/node-records.test.ts
@@ -4,7 +4,7 @@
 import { NodeRecords } from '../../src/cluster/node-records.js';
 import {
   decodeNodeGroup,
-  encodedBytes,
+  measureEncodedBytes,
   encodeNodeGroup,
   NODE_GROUPS_PREFIX,
 } from '../../src/state/records.js';
@@ -58,7 +58,7 @@
   assert.deepEqual(collectNodeNames(writes[0]!.operations), expectedNames);
   assert.equal(writes[0]!.operations.length, 4);
   for (const { value: part } of writes[0]!.operations)
-    assert.ok(encodedBytes(part) <= 1024, `${encodedBytes(part)}`);
+    assert.ok(measureEncodedBytes(part) <= 1024, `${measureEncodedBytes(part)}`);
   assert.deepEqual(
     writes[0]!.conditions.map((condition) => condition.modRevision),
     [7, 0, 0, 0],
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -7,7 +7,7 @@
 import { decodeSubmission, MalformedSubmissionError } from '../src/api/codec.js';
 import { loadSettings, SettingsError } from '../src/settings.js';
 import {
-  completionSegmentCount,
+  countCompletionSegments,
   decodeCompletionSegment,
   decodeJob,
   decodeInstanceTypes,
@@ -97,7 +97,7 @@
   const bitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
   for (let task = 0; task < MAX_TASKS_PER_JOB; task += 1 + (task % 3)) bitmap.add(task);
   const decodedBitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
-  for (let segment = 0; segment < completionSegmentCount(MAX_TASKS_PER_JOB); segment++) {
+  for (let segment = 0; segment < countCompletionSegments(MAX_TASKS_PER_JOB); segment++) {
     const text = encodeCompletionSegment(bitmap, segment);
     assert.ok(text.length < 4096);
     decodeCompletionSegment(decodedBitmap, segment, text);
@@ -126,7 +126,7 @@
   // An announced limit applies at once if it is lower than the current limit.
   const announced = `${SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
   const { state } = loadSettingsFrom(announced);
-  assert.deepEqual(state, { ...settings.state, writesPerS: 7, valueBytes: 2048 });
+  assert.deepEqual(state, { ...settings.state, writesPerSecond: 7, valueBytes: 2048 });
   for (const invalidLimit of [
     'txn_ops = 0',
     'txn_ops = 2.5',
--- a/test/duties/interleavings.test.ts
+++ b/test/duties/interleavings.test.ts
@@ -123,7 +123,7 @@
       cloud.capacity = Math.abs(amount) % 6;
       return void clock.setTimer(durationMs, () => (cloud.capacity = Infinity));
     case 'resign':
-      for (const { role } of cluster.requireRoles(member).heldRoles())
+      for (const { role } of cluster.requireRoles(member).listHeldRoles())
         cluster.requireRoles(member).resign(role, 'test');
   }
 }
--- a/test/duties/model-cluster.ts
+++ b/test/duties/model-cluster.ts
@@ -19,7 +19,7 @@
 import { ModelLeader } from './model-leader.js';
 import { ModelProcess } from './model-process.js';
 
-const LIMITS = { rps: 1_000, writesPerS: 1_000, txnOps: 12 };
+const LIMITS = { requestsPerSecond: 1_000, writesPerSecond: 1_000, maxTransactionOperations: 12 };
 const silentLogger = pino({ level: 'silent' });
 
 /** The delivery of one message: the delays of the request and of its answer, and whether the answer is lost. */
@@ -103,7 +103,7 @@
       limits: LIMITS,
       controllerCount: 1,
     });
-    client.setLeading(true);
+    client.setIsLeader(true);
     const replica = new StateReplica(client, ROOT_PREFIX, clock, silentLogger);
     const roles = new LeasedRoles({
       member,
@@ -117,8 +117,8 @@
         this.onLeaderRead(member);
         return readCurrentLeader(replica);
       },
-      obsoleteRecords: () => [],
-      maxTransactionOperations: LIMITS.txnOps,
+      findObsoleteRecords: () => [],
+      maxTransactionOperations: LIMITS.maxTransactionOperations,
       cloudRequestsPerSecond: { rent: 4, return: 4, reclaim: 4 },
       ...{ clock, random: this.random, log: silentLogger },
     });
@@ -175,7 +175,13 @@
   async elect(member: string, { delegates = true } = {}): Promise<void> {
     const { process, replica, roles } = this.requireController(member);
     const term = this.term + 1;
-    if (!(await this.writeUnconditionally(LEADER_KEY, encodeLeader({ member, term, delegates })))) return;
+    if (
+      !(await this.writeUnconditionally(
+        LEADER_KEY,
+        encodeLeader({ member, term, delegatesCloudCalls: delegates }),
+      ))
+    )
+      return;
     this.electedLeader = undefined;
     if (!delegates) return;
     for (let hasReadOwnRecord = false; !hasReadOwnRecord;)
--- a/test/duties/model-leader.ts
+++ b/test/duties/model-leader.ts
@@ -34,10 +34,11 @@
     const fence = { key: LEADER_KEY, modRevision };
     const onEvent = (event: IntentEvent): void => this.onEvent(event);
     this.intents = roles.openIntentLog({ term, fence, maxValueBytes: 8192, onEvent }, () => undefined);
-    const { launching, terminating, terminated } = this.intents.inheritedIntents();
-    this.terminatedNodes = new Set([...terminating, ...terminated]);
+    const { launchesInProgress, nodesBeingTerminated, terminatedNodes } = this.intents.listInheritedIntents();
+    this.terminatedNodes = new Set([...nodesBeingTerminated, ...terminatedNodes]);
     this.usableNodes = new Set([...nodeNames].filter((name) => !this.terminatedNodes.has(name)));
-    for (const { name, count } of launching) this.launchingNodeCounts.set(name, count);
+    for (const { requestName, nodeCount } of launchesInProgress)
+      this.launchingNodeCounts.set(requestName, nodeCount);
     this.reconcile();
   }
 
@@ -49,7 +50,10 @@
       const name = `r-${term}-${++this.launchCount}`;
       const count = Math.min(2, missingNodeCount);
       this.launchingNodeCounts.set(name, count);
-      this.intents.send({ kind: 'launch', request: { name, offering: OFFERING, count } });
+      this.intents.send({
+        kind: 'launch',
+        request: { requestName: name, offering: OFFERING, nodeCount: count },
+      });
     }
     for (const name of [...this.usableNodes].slice(
       0,
@@ -65,7 +69,7 @@
 
   private onEvent(event: IntentEvent): void {
     if (event.kind === 'terminated') return;
-    this.launchingNodeCounts.delete(event.request.name);
+    this.launchingNodeCounts.delete(event.request.requestName);
     if (event.kind === 'launched')
       for (const name of event.names) if (!this.terminatedNodes.has(name)) this.usableNodes.add(name);
   }
--- a/test/duties/scenarios.test.ts
+++ b/test/duties/scenarios.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { holderKey, INTENT_KEY_PREFIX, type Role } from '@pumicehinge/duties';
+import { roleHolderKey, INTENT_KEY_PREFIX, type Role } from '@pumicehinge/duties';
 import { HttpCloudProvider } from '../../src/duties/http-cloud-provider.js';
 import { findObsoleteRecords } from '../../src/duties/obsolete-records.js';
 import { SimDay, type DayOptions } from '../../src/simulation/day.js';
@@ -36,7 +36,7 @@
 }
 
 const readHolder = (day: SimDay, role: Role): string | undefined =>
-  (day.state.peek(holderKey(role)) as { member: string } | undefined)?.member;
+  (day.state.peek(roleHolderKey(role)) as { member: string } | undefined)?.member;
 
 /**
  * The faults of each scenario, with the second at which they are injected. Every rule must hold, and every array must
@@ -126,9 +126,15 @@
 });
 
 test('with leased roles off, the leader record is the same as that of the version in production', () => {
-  assert.equal(formatJson(encodeLeader({ member: 'hearth-2', term: 12, delegates: false })), STORED.leader);
-  assert.equal(decodeLeader(JSON.parse(STORED.leader))?.delegates, false);
-  assert.equal(decodeLeader(encodeLeader({ member: 'a', term: 3, delegates: true }))?.delegates, true);
+  assert.equal(
+    formatJson(encodeLeader({ member: 'hearth-2', term: 12, delegatesCloudCalls: false })),
+    STORED.leader,
+  );
+  assert.equal(decodeLeader(JSON.parse(STORED.leader))?.delegatesCloudCalls, false);
+  assert.equal(
+    decodeLeader(encodeLeader({ member: 'a', term: 3, delegatesCloudCalls: true }))?.delegatesCloudCalls,
+    true,
+  );
 });
 
 test('detail records are obsolete once their job no longer needs them', () => {
@@ -191,12 +197,12 @@
   ];
   for (const [status, body, kind] of cases) {
     const provider = new HttpCloudProvider({ call: () => Promise.resolve({ status, body }) }, 'cloud:1');
-    const result = await provider.launch({ name: 'r-1-1', offering: OFFERING, count: 2 });
+    const result = await provider.launch({ requestName: 'r-1-1', offering: OFFERING, nodeCount: 2 });
     assert.equal(result.kind, kind, `${status} ${body}`);
   }
   const unreachableProvider = new HttpCloudProvider(
     { call: () => Promise.reject(new Error('lost')) },
     'cloud:1',
   );
-  assert.deepEqual(await unreachableProvider.terminate(['vm-1']), { kind: 'unknown', answered: false });
+  assert.deepEqual(await unreachableProvider.terminate(['vm-1']), { kind: 'unknown', isAnswered: false });
 });
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -24,10 +24,10 @@
 /** A state store that grants leases and applies every transaction, but fails each lease renewal. */
 function createStoreClient() {
   return {
-    isFailing: false,
-    lastServedMs: 0,
-    isServed: true,
-    setLeading: () => undefined,
+    hasLastCallFailed: false,
+    lastServedCallMs: 0,
+    isStoreAvailable: true,
+    setIsLeader: () => undefined,
     grantLease: () => Promise.resolve(1),
     compareAndSwap: () => Promise.resolve({ outcome: 'applied', revision: 5 }),
     keepAlive: () => Promise.reject(new Error('not served')),
@@ -56,15 +56,15 @@
     onChange: (listener: (change: KeyChange) => void) => listeners.push(listener),
     applyOwnWrite: () => undefined,
     syncedRevision: 4,
-    merge: (keyValue: KeyValue) => {
+    mergeIfNewer: (keyValue: KeyValue) => {
       merged.push(keyValue);
       for (const listener of listeners) listener(keyValue);
     },
     linearizableRead: () => {
       if (probe === 'unanswered') return new Promise(() => undefined);
-      storeClient.isFailing = probe === 'refused';
-      if (storeClient.isFailing) return Promise.reject(new Error('refused'));
-      storeClient.lastServedMs = clock.steadyMs();
+      storeClient.hasLastCallFailed = probe === 'refused';
+      if (storeClient.hasLastCallFailed) return Promise.reject(new Error('refused'));
+      storeClient.lastServedCallMs = clock.steadyMs();
       return Promise.resolve();
     },
   };
@@ -143,7 +143,7 @@
     election.start();
     while (!term()) await clock.runUntil(clock.steadyMs() + 50);
     const startMs = clock.steadyMs();
-    storeClient.isFailing = true;
+    storeClient.hasLastCallFailed = true;
     // Each request is answered immediately, the last one shortly before the lease would have expired.
     let answeredCount = 0;
     while (clock.steadyMs() < startMs + LEADER_LEASE_TTL_MS - 400) {
@@ -201,11 +201,11 @@
   for (const [name, prepare, request, expectedJobs] of cases) {
     const fixture = createFixture('c1', 'refused');
     for (const revision of [10, 12, 13]) {
-      fixture.replica.merge(createCancelledJob(`job-${revision}`, revision));
+      fixture.replica.mergeIfNewer(createCancelledJob(`job-${revision}`, revision));
     }
     prepare(fixture);
     await fixture.clock.runUntil(STATE_UNAVAILABLE_AFTER_MS * 2);
-    fixture.storeClient.isFailing = true;
+    fixture.storeClient.hasLastCallFailed = true;
     fixture.receive({ kind: 'leaseVoteRequest', round: 1, term: 6, ...request });
     const vote = fixture.sent.find((m) => m.kind === 'leaseVote');
     assert.ok(vote?.isGranted, name);
@@ -277,7 +277,7 @@
     const fixture = createFixture(undefined);
     fixture.election.start();
     while (!fixture.term()) await fixture.clock.runUntil(fixture.clock.steadyMs() + 50);
-    fixture.storeClient.isFailing = true;
+    fixture.storeClient.hasLastCallFailed = true;
     const { fencingToken } = fixture.term()!;
     let request: PeerMessage | undefined;
     while (!(request = fixture.sent.find((m) => m.kind === 'leaseVoteRequest')))
--- a/test/golden/cloud-calls.test.ts
+++ b/test/golden/cloud-calls.test.ts
@@ -28,10 +28,13 @@
 const INSTANCE_NAMES = ['vm-000039', 'vm-000040'];
 
 test('request bodies and offering keys are encoded', () => {
-  forms.check('rent: spot', formatJson(encodeLaunch({ name: 'r-12-1', offering: SPOT_OFFERING, count: 2 })));
+  forms.check(
+    'rent: spot',
+    formatJson(encodeLaunch({ requestName: 'r-12-1', offering: SPOT_OFFERING, nodeCount: 2 })),
+  );
   forms.check(
     'rent: ordinary',
-    formatJson(encodeLaunch({ name: 'r-12-2', offering: ON_DEMAND_OFFERING, count: 1 })),
+    formatJson(encodeLaunch({ requestName: 'r-12-2', offering: ON_DEMAND_OFFERING, nodeCount: 1 })),
   );
   forms.check('return: two', formatJson(encodeTermination(INSTANCE_NAMES)));
   forms.check('return: none', formatJson(encodeTermination([])));
@@ -135,12 +138,12 @@
     log: pino({ level: 'silent' }),
     onFailure: (error) => assert.fail(String(error)),
   });
-  const spotRequest = { name: 'r-12-1', offering: SPOT_OFFERING, count: 2 };
+  const spotRequest = { requestName: 'r-12-1', offering: SPOT_OFFERING, nodeCount: 2 };
   cloud.send({ kind: 'launch', request: spotRequest });
   cloud.send({ kind: 'terminate', names: INSTANCE_NAMES });
   await clock.runUntil(3_000);
   RESPONSES['POST /hosts'] = { status: 503, body: '{"error":"no capacity"}' };
-  const onDemandRequest = { name: 'r-12-2', offering: ON_DEMAND_OFFERING, count: 1 };
+  const onDemandRequest = { requestName: 'r-12-2', offering: ON_DEMAND_OFFERING, nodeCount: 1 };
   cloud.send({ kind: 'launch', request: onDemandRequest });
   await clock.runUntil(3_500);
   cloud.stop();
@@ -160,7 +163,7 @@
   });
 });
 
-const LAUNCH_REQUEST: LaunchRequest = { name: 'r-12-1', offering: SPOT_OFFERING, count: 2 };
+const LAUNCH_REQUEST: LaunchRequest = { requestName: 'r-12-1', offering: SPOT_OFFERING, nodeCount: 2 };
 
 /** Responses to a launch request, and the result that the holder of the launch role derives from each. */
 const LAUNCH_CASES: [name: string, response: HttpResponse | undefined, result: LaunchResult][] = [
@@ -196,8 +199,8 @@
     { status: 400, body: '{"error":"no such build"}' },
     { kind: 'refused', reason: 'trouble' },
   ],
-  ['rate limit exceeded', { status: 429, body: '{}' }, { kind: 'unknown', answered: true }],
-  ['no response', undefined, { kind: 'unknown', answered: false }],
+  ['rate limit exceeded', { status: 429, body: '{}' }, { kind: 'unknown', isAnswered: true }],
+  ['no response', undefined, { kind: 'unknown', isAnswered: false }],
 ];
 
 test('the holder of a role: its requests, and the result of each response', async () => {
@@ -209,8 +212,8 @@
   }
   for (const [status, result] of [
     [200, { kind: 'terminated' }],
-    [503, { kind: 'unknown', answered: true }],
-    [undefined, { kind: 'unknown', answered: false }],
+    [503, { kind: 'unknown', isAnswered: true }],
+    [undefined, { kind: 'unknown', isAnswered: false }],
   ] as const) {
     const caller = new RecordingCaller(() => (status === undefined ? undefined : { status, body: '{}' }));
     assert.deepEqual(await new HttpCloudProvider(caller, 'cloud:1').terminate(INSTANCE_NAMES), result);
--- a/test/golden/controller-harness.ts
+++ b/test/golden/controller-harness.ts
@@ -19,10 +19,10 @@
 
 /** The limits of the state store. */
 export const STATE_STORE_LIMITS: Settings['state'] = {
-  rps: 1_000,
-  writesPerS: 1_000,
+  requestsPerSecond: 1_000,
+  writesPerSecond: 1_000,
   valueBytes: 8_192,
-  txnOps: 12,
+  maxTransactionOperations: 12,
 };
 
 const DEFAULT_SETTINGS: Settings = {
--- a/test/golden/follower-fixture.ts
+++ b/test/golden/follower-fixture.ts
@@ -74,7 +74,7 @@
 });
 
 const STORED_VALUES: Record<string, unknown> = {
-  [LEADER_KEY]: encodeLeader({ member: 'hearth-1', term: 3, delegates: false }),
+  [LEADER_KEY]: encodeLeader({ member: 'hearth-1', term: 3, delegatesCloudCalls: false }),
   [TERM_KEY]: { term: 3 },
   [CATALOG_KEY]: INSTANCE_TYPES,
   [nodeGroupKey('3-1')]: encodeNodeGroup({
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -115,14 +115,14 @@
   });
 
 test('production, delegated leases', () => {
-  const delegatedLeases: records.DelegatedLeasesRecord = { term: 12, nodes: ['vm-000039', 'vm-000040'] };
+  const delegatedLeases: records.DelegatedLeasesRecord = { term: 12, nodeNames: ['vm-000039', 'vm-000040'] };
   const text = getStoredText('delegated leases');
   assert.deepEqual(records.decodeDelegatedLeases(parseJson(text)), delegatedLeases);
   assert.equal(formatJson(records.encodeDelegatedLeases(delegatedLeases)), text);
 });
 
 test('production, leader', () => {
-  const leader: records.LeaderRecord = { member: 'c0', term: 1, delegates: false };
+  const leader: records.LeaderRecord = { member: 'c0', term: 1, delegatesCloudCalls: false };
   const text = getStoredText('leader');
   assert.deepEqual(records.decodeLeader(parseJson(text)), leader);
   assert.equal(formatJson(records.encodeLeader(leader)), text);
--- a/test/golden/settings.test.ts
+++ b/test/golden/settings.test.ts
@@ -41,7 +41,7 @@
   reportS: 1.5,
   leaseS: 14,
   cancelS: 39,
-  state: { rps: 200, writesPerS: 60, valueBytes: 8_192, txnOps: 10 },
+  state: { requestsPerSecond: 200, writesPerSecond: 60, valueBytes: 8_192, maxTransactionOperations: 10 },
   cloud: { rps: 6, listLagS: 5 },
   sockets: { forClients: 701, forCommands: 135 },
   memoryBytes: 146 * 1024 * 1024,
@@ -165,10 +165,10 @@
 /** Valid settings with which the service can't meet its guarantees, and the setting that each warning names. */
 const WEAK_SETTINGS: [overrides: Partial<Settings>, settingNames: string[]][] = [
   [{}, []],
-  [{ state: { ...EXPECTED_SETTINGS.state, rps: 1 } }, ['state.rps']],
-  [{ state: { ...EXPECTED_SETTINGS.state, writesPerS: 1 } }, ['state.write_rps']],
+  [{ state: { ...EXPECTED_SETTINGS.state, requestsPerSecond: 1 } }, ['state.rps']],
+  [{ state: { ...EXPECTED_SETTINGS.state, writesPerSecond: 1 } }, ['state.write_rps']],
   [{ state: { ...EXPECTED_SETTINGS.state, valueBytes: 512 } }, ['state.value_kb']],
-  [{ state: { ...EXPECTED_SETTINGS.state, txnOps: 3 } }, ['state.txn_ops']],
+  [{ state: { ...EXPECTED_SETTINGS.state, maxTransactionOperations: 3 } }, ['state.txn_ops']],
   [{ cloud: { ...EXPECTED_SETTINGS.cloud, rps: 0.5 } }, ['cloud.rps']],
   [{ sockets: { ...EXPECTED_SETTINGS.sockets, forClients: 9 } }, ['quota.max_connections (for clients)']],
   [{ memoryBytes: 64 * 1024 * 1024 }, ['quota.mem_mb']],
--- a/test/golden/state-calls.test.ts
+++ b/test/golden/state-calls.test.ts
@@ -10,7 +10,7 @@
 const forms = new GoldenForms('state-calls');
 
 const LARGE_INTEGER = 2n ** 63n + 1n;
-const STORE_LIMITS = { rps: 1_000, writesPerS: 1_000, txnOps: 12 };
+const STORE_LIMITS = { requestsPerSecond: 1_000, writesPerSecond: 1_000, maxTransactionOperations: 12 };
 
 /** Time after which the client's rate limiters hold their full budgets. */
 const RATE_BUDGET_FILL_MS = 1_000;
@@ -43,13 +43,13 @@
     'first page',
     createOkResponse('{"rows":[{"key":"ph/leader","v":{"a":1},"stamp":4,"hold":2}],"more":true,"epoch":9}'),
     (client) => client.listPage('ph/', undefined, 500),
-    { keyValues: [{ key: 'ph/leader', value: { a: 1 }, modRevision: 4 }], more: true, revision: 9 },
+    { keyValues: [{ key: 'ph/leader', value: { a: 1 }, modRevision: 4 }], hasMore: true, revision: 9 },
   ],
   [
     'next page',
     createOkResponse(`{"rows":[],"epoch":${LARGE_INTEGER}}`),
     (client) => client.listPage('ph/', 'ph/leader', 500),
-    { keyValues: [], more: false, revision: LARGE_INTEGER },
+    { keyValues: [], hasMore: false, revision: LARGE_INTEGER },
   ],
   [
     'watch',
--- a/test/golden/stored-cluster.test.ts
+++ b/test/golden/stored-cluster.test.ts
@@ -26,8 +26,8 @@
 const forms = new GoldenForms('stored-cluster');
 
 const LEADERS: Record<string, LeaderRecord> = {
-  'does all itself': { member: 'hearth-2', term: 12, delegates: false },
-  'leaves work to the holders of duties': { member: 'hearth-0', term: 1, delegates: true },
+  'does all itself': { member: 'hearth-2', term: 12, delegatesCloudCalls: false },
+  'leaves work to the holders of duties': { member: 'hearth-0', term: 1, delegatesCloudCalls: true },
 };
 
 testRoundTrips(forms, 'leader', LEADERS, {
@@ -66,8 +66,8 @@
 });
 
 const DELEGATED_LEASES: Record<string, DelegatedLeasesRecord> = {
-  'two machines': { term: 12, nodes: ['vm-000039', 'vm-000040'] },
-  'no machine': { term: 1, nodes: [] },
+  'two machines': { term: 12, nodeNames: ['vm-000039', 'vm-000040'] },
+  'no machine': { term: 1, nodeNames: [] },
 };
 
 testRoundTrips(forms, 'delegated leases', DELEGATED_LEASES, {
@@ -149,8 +149,12 @@
     decodeLeader({ member: 'a', term: 3 }),
     { ...LEADERS['does all itself'], member: 'a', term: 3 },
   ],
-  ['leader: unknown field', decodeLeader({ member: 'a', term: 3, later: 1 })?.delegates, false],
-  ['leader: flag of another type', decodeLeader({ member: 'a', term: 3, delegates: 1 })?.delegates, false],
+  ['leader: unknown field', decodeLeader({ member: 'a', term: 3, later: 1 })?.delegatesCloudCalls, false],
+  [
+    'leader: flag of another type',
+    decodeLeader({ member: 'a', term: 3, delegates: 1 })?.delegatesCloudCalls,
+    false,
+  ],
   ['leader: without member', decodeLeader({ term: 3 }), undefined],
   ['leader: no value', decodeLeader(undefined), undefined],
   ['node group: without nodes', decodeNodeGroup({ t: 'a', z: 'b', s: 1 }), undefined],
--- a/test/golden/stored-duties.test.ts
+++ b/test/golden/stored-duties.test.ts
@@ -57,7 +57,7 @@
   role: 'rent',
   requestName: 'r-12-1',
   offering: { type: 'kufel-node', zone: 'warszawa-a', spot: true },
-  count: 2,
+  nodeCount: 2,
   outcome: undefined,
 };
 
@@ -66,7 +66,7 @@
   state: 'requested',
   fencingToken: 0,
   role: 'return',
-  names: ['vm-000039', 'vm-000040'],
+  nodeNames: ['vm-000039', 'vm-000040'],
 };
 
 const INTENTS: Record<string, Intent> = {
@@ -75,7 +75,7 @@
   'rent, ordinary machine': {
     ...LAUNCH_INTENT,
     offering: { ...LAUNCH_INTENT.offering, spot: false },
-    count: 1,
+    nodeCount: 1,
   },
   'rent, done': {
     ...LAUNCH_INTENT,
@@ -93,15 +93,26 @@
     ...LAUNCH_INTENT,
     state: 'completed',
     fencingToken: 3,
-    outcome: { refused: 'no capacity' },
+    outcome: { refusalReason: 'no capacity' },
+  },
+  'rent, trouble': {
+    ...LAUNCH_INTENT,
+    state: 'completed',
+    fencingToken: 4,
+    outcome: { refusalReason: 'trouble' },
   },
-  'rent, trouble': { ...LAUNCH_INTENT, state: 'completed', fencingToken: 4, outcome: { refused: 'trouble' } },
   'return, ordered': TERMINATION_INTENT,
   'return, intended': { ...TERMINATION_INTENT, state: 'committed', fencingToken: 5 },
   'return, done': { ...TERMINATION_INTENT, state: 'completed', fencingToken: 5 },
-  'reclaim, ordered': { ...TERMINATION_INTENT, role: 'reclaim', names: ['vm-000041'] },
+  'reclaim, ordered': { ...TERMINATION_INTENT, role: 'reclaim', nodeNames: ['vm-000041'] },
   'reclaim, intended': { ...TERMINATION_INTENT, role: 'reclaim', state: 'committed', fencingToken: 6 },
-  'reclaim, done': { ...TERMINATION_INTENT, role: 'reclaim', state: 'completed', fencingToken: 6, names: [] },
+  'reclaim, done': {
+    ...TERMINATION_INTENT,
+    role: 'reclaim',
+    state: 'completed',
+    fencingToken: 6,
+    nodeNames: [],
+  },
 };
 
 for (const [name, intent] of Object.entries(INTENTS))
--- a/test/golden/stored-jobs.test.ts
+++ b/test/golden/stored-jobs.test.ts
@@ -11,7 +11,7 @@
   isCancelledJob,
   maxJobBytes,
   RANKS,
-  splitByBytes,
+  splitByEncodedSize,
   decodeJobDependencies,
   type JobRecord,
 } from '../../src/state/records.js';
@@ -175,7 +175,7 @@
 
 test('a dependency list that is too long for one value is split', () => {
   const uids = ['job-000001', 'job-000002', 'job-000003', 'job-4', 'job-0000000005'];
-  const parts = splitByBytes(uids, 40);
+  const parts = splitByEncodedSize(uids, 40);
   parts.forEach((part, index) => forms.check(`dependency list, part ${index}`, formatJson(part)));
   const spec = jobSpec({ dependencyList: { id: 'a1', parts: parts.length } });
   const storedParts = parts.map((_, index) => parseJson(forms.getText(`dependency list, part ${index}`)));
--- a/test/golden/stored-keys.test.ts
+++ b/test/golden/stored-keys.test.ts
@@ -1,12 +1,12 @@
 /** Golden forms of the keys in the state store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ROLES, holderKey, intentKey, INTENT_KEY_PREFIX, fencingTokenKey } from '@pumicehinge/duties';
+import { ROLES, roleHolderKey, intentKey, INTENT_KEY_PREFIX, fencingTokenKey } from '@pumicehinge/duties';
 import {
   CATALOG_KEY,
   dependencyListKey,
   DEPENDENCY_LISTS_PREFIX,
-  jobUidOfDetailKey,
+  parseJobUidOfDetail,
   COMPLETION_SEGMENTS_PREFIX,
   completionSegmentKey,
   nodeGroupKey,
@@ -17,7 +17,7 @@
   JOBS_PREFIX,
   DELEGATED_LEASES_PREFIX,
   delegatedLeasesKey,
-  jobUidOfKey,
+  parseJobUid,
   LEADER_KEY,
   SPOT_INTERRUPTIONS_KEY,
   ROOT_PREFIX,
@@ -51,16 +51,16 @@
   'delegated leases of one controller': delegatedLeasesKey('hearth-2', ''),
   'prefix of orders': INTENT_KEY_PREFIX,
   order: intentKey({ term: 12, sequence: 34 }),
-  ...Object.fromEntries(ROLES.map((role) => [`holder of ${role}`, holderKey(role)])),
+  ...Object.fromEntries(ROLES.map((role) => [`holder of ${role}`, roleHolderKey(role)])),
   ...Object.fromEntries(ROLES.map((role) => [`token of ${role}`, fencingTokenKey(role)])),
 };
 
 for (const [name, key] of Object.entries(KEYS)) test(`key: ${name}`, () => forms.check(name, key));
 
 test('the job and the kind of a record are read from its key', () => {
-  assert.equal(jobUidOfKey(forms.getText('job')), JOB_UID);
+  assert.equal(parseJobUid(forms.getText('job')), JOB_UID);
   for (const name of ['finished tasks', 'finished tasks, tenth part', 'dependency list'])
-    assert.equal(jobUidOfDetailKey(forms.getText(name)), JOB_UID, name);
+    assert.equal(parseJobUidOfDetail(forms.getText(name)), JOB_UID, name);
   for (const name of Object.keys(KEYS)) {
     const key = forms.getText(name);
     assert.equal(isJobKey(key), name === 'job' || name === 'prefix of jobs', name);
--- a/test/pipeline/dependent-jobs.test.ts
+++ b/test/pipeline/dependent-jobs.test.ts
@@ -5,7 +5,7 @@
 
 /** Simulation scenarios in which users submit jobs that depend on other jobs. */
 
-const LOW_STORE_LIMITS = { valueBytes: 2048, txnOps: 4 };
+const LOW_STORE_LIMITS = { valueBytes: 2048, maxTransactionOperations: 4 };
 
 /** Sends a user request, and runs the simulation until it is answered or 5 seconds have passed. */
 async function sendRequest(day: SimDay, member: string, path: string, body?: unknown) {
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -89,18 +89,21 @@
     leaseS: 14,
     reportS: 1.5,
     cancelS: 39,
-    state: { rps: 200, writesPerS: 80, valueBytes: 8192, txnOps: 12 },
+    state: { requestsPerSecond: 200, writesPerSecond: 80, valueBytes: 8192, maxTransactionOperations: 12 },
     cloud: { rps: 6, listLagS: 5 },
     sockets: shareSockets(900),
     memoryBytes: 108 * MB,
   } as Settings;
   const warningCases: [changes: Partial<Settings>, warnings: RegExp[]][] = [
     [{}, []],
-    [{ state: { ...sufficient.state, rps: 10 } }, [/^state.rps is 10, but at least 22.23 is needed: /]],
+    [
+      { state: { ...sufficient.state, requestsPerSecond: 10 } },
+      [/^state.rps is 10, but at least 22.23 is needed: /],
+    ],
     [{ controllers: 50 }, [/^state.rps is 200, but at least 370.38 is needed: /]],
-    [{ state: { ...sufficient.state, writesPerS: 4 } }, [/^state.write_rps is 4, /]],
+    [{ state: { ...sufficient.state, writesPerSecond: 4 } }, [/^state.write_rps is 4, /]],
     [
-      { state: { ...sufficient.state, valueBytes: 512, txnOps: 2 } },
+      { state: { ...sufficient.state, valueBytes: 512, maxTransactionOperations: 2 } },
       [/^state.value_kb is 0.5/, /^state.txn_ops is 2/],
     ],
     [{ cloud: { rps: 0.5, listLagS: 5 } }, [/^cloud.rps is 0.5/]],
@@ -158,7 +161,7 @@
     caller,
     address: 'state:1',
     clock,
-    limits: { rps: 100, writesPerS: 50, txnOps: 10 },
+    limits: { requestsPerSecond: 100, writesPerSecond: 50, maxTransactionOperations: 10 },
     controllerCount: 1,
   });
   const replica = new StateReplica(client, 'ph/', clock, silentLog);
@@ -224,7 +227,11 @@
   for (let elapsedS = 0; elapsedS < DURATION_S; elapsedS += 2) {
     cloudClient.send({
       kind: 'launch',
-      request: { name: `r-${elapsedS}`, offering: { type: 'm', zone: 'z', spot: false }, count: 1 },
+      request: {
+        requestName: `r-${elapsedS}`,
+        offering: { type: 'm', zone: 'z', spot: false },
+        nodeCount: 1,
+      },
     });
     await clock.runUntil(elapsedS * 1000);
   }
--- a/test/state/dependency-lists.test.ts
+++ b/test/state/dependency-lists.test.ts
@@ -2,19 +2,19 @@
 import { test } from 'node:test';
 import {
   dependencyListKey,
-  encodedBytes,
+  measureEncodedBytes,
   maxJobBytes,
   readDependencies,
-  splitByBytes,
+  splitByEncodedSize,
 } from '../../src/state/records.js';
 import { jobSpec } from '../fixtures.js';
 
 test('the longest dependency lists that a request allows fit into values, and are read back completely or not at all', () => {
   const list = Array.from({ length: 4_500 }, (_, i) => `job-${String(i).padStart(6, '0')}`);
   for (const valueBytes of [2048, 8192]) {
-    const parts = splitByBytes(list, valueBytes);
+    const parts = splitByEncodedSize(list, valueBytes);
     assert.deepEqual(parts.flat(), list);
-    for (const part of parts) assert.ok(encodedBytes(part) <= valueBytes);
+    for (const part of parts) assert.ok(measureEncodedBytes(part) <= valueBytes);
     const reference = { id: 'x', parts: parts.length };
     const spec = jobSpec({ dependencyList: reference });
     const valuesByKey = new Map(
--- a/test/state/state-replica.test.ts
+++ b/test/state/state-replica.test.ts
@@ -26,7 +26,7 @@
     },
     address: 'state:1',
     clock,
-    limits: { rps: 100, writesPerS: 100, txnOps: 12 },
+    limits: { requestsPerSecond: 100, writesPerSecond: 100, maxTransactionOperations: 12 },
     controllerCount: 1,
   });
   const replica = new StateReplica(client, 'ph/', clock, pino({ level: 'silent' }));
--- a/test/state/transaction-batcher.test.ts
+++ b/test/state/transaction-batcher.test.ts
@@ -10,7 +10,7 @@
   const clock = new SimulatedClock();
   const writtenKeys: string[][] = [];
   const client = {
-    limits: { rps: 100, writesPerS: 100, txnOps: 1 },
+    limits: { requestsPerSecond: 100, writesPerSecond: 100, maxTransactionOperations: 1 },
     compareAndSwap: (_conditions: unknown, operations: Operation[]) => {
       writtenKeys.push(operations.map(({ key }) => key));
       return Promise.resolve(getResult());
@@ -54,14 +54,14 @@
 });
 
 test('store client: any controller can write several jobs of a pipeline at once, and all bursts together stay within the limit', async () => {
-  const cases: [controllers: number, writesPerS: number, atOnce: number][] = [
+  const cases: [controllers: number, writesPerSecond: number, atOnce: number][] = [
     [3, 56, 10],
     [3, 80, 15],
     [7, 70, 5],
     [7, 120, 9],
   ];
-  for (const [controllerCount, writesPerS, minWritesAtOnce] of cases) {
-    const limits = { rps: 300, writesPerS, txnOps: 4 };
+  for (const [controllerCount, writesPerSecond, minWritesAtOnce] of cases) {
+    const limits = { requestsPerSecond: 300, writesPerSecond, maxTransactionOperations: 4 };
     const measureBurst = async (isLeader: boolean): Promise<number> => {
       const clock = new SimulatedClock();
       const client = new StoreClient({
@@ -71,7 +71,7 @@
         limits,
         controllerCount,
       });
-      client.setLeading(isLeader);
+      client.setIsLeader(isLeader);
       // A process starts without an accumulated budget.
       await clock.runUntil(5_000);
       let count = 0;
@@ -81,12 +81,12 @@
     const [followerBurst, leaderBurst] = [await measureBurst(false), await measureBurst(true)];
     assert.ok(
       followerBurst >= minWritesAtOnce,
-      `${controllerCount} controllers, ${writesPerS}: ${followerBurst} at once`,
+      `${controllerCount} controllers, ${writesPerSecond}: ${followerBurst} at once`,
     );
     const totalBurst = leaderBurst + (controllerCount - 1) * followerBurst;
     assert.ok(
-      totalBurst <= writesPerS,
-      `${controllerCount} controllers, ${writesPerS}: ${totalBurst} in all`,
+      totalBurst <= writesPerSecond,
+      `${controllerCount} controllers, ${writesPerSecond}: ${totalBurst} in all`,
     );
   }
 });
