--- a/src/api/dependency-list-writer.ts
+++ b/src/api/dependency-list-writer.ts
@@ -14,7 +14,7 @@
 /** Dependencies of `DependencyListWriter`. */
 export interface DependencyListWriterDependencies {
   /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
-  readonly limits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
+  readonly storeLimits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
   readonly batcher: TransactionBatcher;
   readonly random: () => number;
 }
@@ -28,24 +28,28 @@
    * dependency list is first written to separate keys, under a name that no other attempt uses.
    */
   async fitToStore(record: JobRecord): Promise<FittedRecord> {
-    const { limits, batcher, random } = this.dependencies;
-    if (maxJobBytes(record) <= limits.valueBytes) return { kind: 'fits', record };
+    const { storeLimits, batcher, random } = this.dependencies;
+    if (maxJobBytes(record) <= storeLimits.valueBytes) return { kind: 'fits', record };
     if (!record.spec?.dependencies) return { kind: 'tooLong' };
     const { dependencies: dependencyUids, ...description } = record.spec;
-    const parts = splitByEncodedSize(dependencyUids, limits.valueBytes);
+    const parts = splitByEncodedSize(dependencyUids, storeLimits.valueBytes);
     const dependencyList = {
       id: Math.floor(random() * DEPENDENCY_LIST_ID_RANGE).toString(36),
       parts: parts.length,
     };
     const { uid } = description;
     const splitRecord: JobRecord = { ...record, spec: { ...description, dependencyList } };
-    if (maxJobBytes(splitRecord) > limits.valueBytes) return { kind: 'tooLong' };
+    if (maxJobBytes(splitRecord) > storeLimits.valueBytes) return { kind: 'tooLong' };
     const keyValues = parts.map((value, partIndex) => ({
       key: dependencyListKey(uid, dependencyList, partIndex),
       value,
     }));
-    for (let firstIndex = 0; firstIndex < keyValues.length; firstIndex += limits.maxTransactionOperations) {
-      const operations = keyValues.slice(firstIndex, firstIndex + limits.maxTransactionOperations);
+    for (
+      let firstIndex = 0;
+      firstIndex < keyValues.length;
+      firstIndex += storeLimits.maxTransactionOperations
+    ) {
+      const operations = keyValues.slice(firstIndex, firstIndex + storeLimits.maxTransactionOperations);
       const conditions = operations.map(({ key }) => ({ key, modRevision: 0 }));
       const result = await batcher.commitForUser(conditions, operations, SUBMISSION_TIMEOUT_MS);
       if (result.outcome !== 'applied') return { kind: 'notWritten' };
--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -34,7 +34,7 @@
   readonly replica: StateReplica;
   readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Number of running tasks of a job, for display. */
-  readonly runningTaskCount: (uid: string) => number;
+  readonly countRunningTasks: (uid: string) => number;
 }
 
 /** Reads jobs from the replica, and waits for a read of the state store if the replica may be behind. */
@@ -71,12 +71,12 @@
   getUserPhase(uid: string, record: JobRecord): UserPhase {
     if (record.phase === 'done') return 'done';
     if (record.phase === 'cancelled') return 'withdrawn';
-    return this.dependencies.runningTaskCount(uid) > 0 ? 'running' : 'pending';
+    return this.dependencies.countRunningTasks(uid) > 0 ? 'running' : 'pending';
   }
 
   /** Number of tasks that run now, for display. */
   countRunningTasks(uid: string, record: JobRecord): number {
-    return record.phase === 'open' ? this.dependencies.runningTaskCount(uid) : 0;
+    return record.phase === 'open' ? this.dependencies.countRunningTasks(uid) : 0;
   }
 
   /** Number of tasks that have completed, for display. */
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -32,12 +32,12 @@
   readonly batcher: TransactionBatcher;
   readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
-  readonly limits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
+  readonly storeLimits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
   readonly random: () => number;
   readonly clock: Clock;
   readonly log: Logger;
   /** Number of running tasks of a job, for display. */
-  readonly runningTaskCount: (uid: string) => number;
+  readonly countRunningTasks: (uid: string) => number;
   /** Whether the state store serves this controller. */
   readonly isStoreAvailable: () => boolean;
   /** Whether memory is so short that user requests are rejected. */
@@ -65,7 +65,7 @@
   }
 
   /** Handles one request. `respond` is called once, now or later. */
-  handle(request: HttpRequest, respond: Respond): void {
+  handleRequest(request: HttpRequest, respond: Respond): void {
     if (request.path === HEARTBEAT_PATH) return this.handleHeartbeat(request, respond);
     if (request.path === HEALTH_PATH) return respond(this.healthResponse(request));
     if (request.path === SUBMISSIONS_PATH) return this.handleSubmission(request, respond);
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -25,10 +25,10 @@
   /** Instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, InstanceType>;
   /** The full resources of a node of this instance type. */
-  readonly capacityOf: (type: string) => Resources;
+  readonly getNodeCapacity: (type: string) => Resources;
   /** Whether spot instances may be launched at all. */
-  readonly useSpot: boolean;
-  readonly spotInterruptions: SpotInterruptionRate;
+  readonly isSpotEnabled: boolean;
+  readonly spotInterruptionRate: SpotInterruptionRate;
   readonly startObjectives: readonly StartObjective[];
   /** Recent jobs. Headroom is estimated from the services among them. */
   readonly recentJobs: () => readonly RecentJob[];
@@ -48,11 +48,11 @@
   private hasInstanceList = false;
 
   constructor(private readonly dependencies: AutoscalerDependencies) {
-    this.offeringBackoff = new OfferingBackoff(dependencies.useSpot);
+    this.offeringBackoff = new OfferingBackoff(dependencies.isSpotEnabled);
     this.spotPolicy = new SpotPolicy({
       instanceTypes: dependencies.instanceTypes,
       offeringBackoff: this.offeringBackoff,
-      spotInterruptionRate: dependencies.spotInterruptions,
+      spotInterruptionRate: dependencies.spotInterruptionRate,
       wallMs: dependencies.wallMs,
     });
     this.capacityFinder = new IncomingCapacityFinder(dependencies);
@@ -62,7 +62,7 @@
    * Records that the cloud's instance list was read. Nothing is launched before that, because the list shows which
    * instances an earlier leader launched.
    */
-  markInstancesListed(): void {
+  recordInstanceListRead(): void {
     this.hasInstanceList = true;
   }
 
@@ -90,12 +90,12 @@
   }
 
   /** Adopts a launch request of an earlier term that is still being carried out, so that its instances are expected. */
-  adoptLaunch(request: LaunchRequest): void {
+  adoptPendingLaunch(request: LaunchRequest): void {
     this.pendingLaunches.set(request.requestName, request);
   }
 
   /** Whether the node must not be terminated because headroom relies on it. */
-  isHeadroom(node: Node): boolean {
+  isReservedForHeadroom(node: Node): boolean {
     return this.headroomNodes.has(node);
   }
 
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -21,8 +21,8 @@
 import {
   CATALOG_TARGET,
   decodeCatalog,
-  decodeInstanceList,
-  decodeLaunched,
+  decodeInstancePage,
+  decodeLaunchedNames,
   decodeRefusalReason,
   encodeLaunch,
   encodeTermination,
@@ -46,7 +46,7 @@
  * The request rates of a leader. It uses the whole usable rate, or only its share of it if the holders of leased roles
  * launch and terminate instances.
  */
-export function leaderCloudRates(rps: number, hasRoleHolders: boolean): CloudRates {
+export function computeLeaderCloudRates(rps: number, hasRoleHolders: boolean): CloudRates {
   const usableRps = rps * CLOUD_RATE_SHARE;
   return hasRoleHolders
     ? { rps: usableRps * DELEGATED_CLOUD_RATE_SHARES.leader, listShare: DELEGATED_INSTANCE_LIST_RATE_SHARE }
@@ -58,7 +58,7 @@
  * because of a fault.
  */
 export type CloudEvent =
-  | { readonly kind: 'catalog'; readonly types: InstanceType[] }
+  | { readonly kind: 'catalog'; readonly instanceTypes: InstanceType[] }
   | { readonly kind: 'listed'; readonly instances: readonly CloudInstance[]; readonly requestedMs: number }
   | { readonly kind: 'launched'; readonly request: LaunchRequest; readonly names: string[] }
   | { readonly kind: 'launchFailed'; readonly request: LaunchRequest; readonly reason: LaunchRefusalReason }
@@ -252,7 +252,7 @@
   private handleLaunchResponse(request: LaunchRequest, response: HttpResponse | undefined): void {
     const { onEvent } = this.dependencies;
     if (response?.status === 200)
-      onEvent({ kind: 'launched', request, names: decodeLaunched(response.body) });
+      onEvent({ kind: 'launched', request, names: decodeLaunchedNames(response.body) });
     else if (response?.status === 503 || response?.status === 400)
       onEvent({ kind: 'launchFailed', request, reason: decodeRefusalReason(response.body) });
     // Without a response the launch may have been carried out, or may still be. Only the same request may be repeated.
@@ -267,16 +267,16 @@
 
   private handleCatalogResponse(response: HttpResponse | undefined): void {
     const { clock, onEvent } = this.dependencies;
-    if (response?.status === 200) onEvent({ kind: 'catalog', types: decodeCatalog(response.body) });
+    if (response?.status === 200) onEvent({ kind: 'catalog', instanceTypes: decodeCatalog(response.body) });
     else this.catalogDueMs = clock.steadyMs() + INSTANCE_LIST_INTERVAL_MS / 2;
   }
 
   private handleListPage(call: ListCall, body: string): void {
     const { rates, onEvent } = this.dependencies;
-    const page = decodeInstanceList(body);
+    const page = decodeInstancePage(body);
     const instances = [...call.instances, ...page.instances];
     const lastInstance = page.instances.at(-1);
-    if (page.more && lastInstance) {
+    if (page.hasMore && lastInstance) {
       this.nextPage = { ...call, afterName: lastInstance.name, instances, pageCount: call.pageCount + 1 };
       return;
     }
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -27,7 +27,7 @@
 export interface InstancePage {
   readonly instances: CloudInstance[];
   /** Whether another page follows. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
 }
 
 /** Thrown if the cloud responds with a body that does not have the expected form. */
@@ -60,7 +60,7 @@
 }
 
 /** The key that identifies an offering in maps and logs. */
-export const offeringKey = (offering: InstanceOffering): string =>
+export const formatOfferingKey = (offering: InstanceOffering): string =>
   `${offering.type}/${offering.zone}/${offering.spot ? 'spot' : 'ordinary'}`;
 
 /** Decodes the catalog. Throws {@link MalformedCloudResponseError}. */
@@ -74,17 +74,17 @@
  * Decodes a page of the instance list. A body without a list counts as an empty page. Throws
  * {@link MalformedCloudResponseError}.
  */
-export function decodeInstanceList(text: string): InstancePage {
+export function decodeInstancePage(text: string): InstancePage {
   const body = parseObject(text);
   const list = Array.isArray(body.hearths) ? body.hearths : [];
-  return { instances: list.filter(isObject).map(decodeInstance), more: body.more === true };
+  return { instances: list.filter(isObject).map(decodeInstance), hasMore: body.more === true };
 }
 
 /**
  * Decodes the names of launched instances. The result is empty if the body has no list. Throws
  * {@link MalformedCloudResponseError}.
  */
-export function decodeLaunched(text: string): string[] {
+export function decodeLaunchedNames(text: string): string[] {
   const list = parseObject(text).hearths;
   return Array.isArray(list) ? list.map(String) : [];
 }
--- a/src/autoscaler/incoming-capacity.ts
+++ b/src/autoscaler/incoming-capacity.ts
@@ -27,7 +27,7 @@
   /** Instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, InstanceType>;
   /** The full resources of a node of this instance type. */
-  readonly capacityOf: (type: string) => Resources;
+  readonly getNodeCapacity: (type: string) => Resources;
 }
 
 /** Finds the capacity that is free now or soon. */
@@ -62,7 +62,7 @@
     for (const node of this.dependencies.clusterState.nodes.values())
       this.addNodeCapacity(node, nowMs, incoming);
     for (const { offering, nodeCount } of pendingLaunches) {
-      const free = this.dependencies.capacityOf(offering.type);
+      const free = this.dependencies.getNodeCapacity(offering.type);
       const readyInS = this.getBootTimeS(offering.type) + NODE_START_OVERHEAD_S;
       for (let i = 0; i < nodeCount; i++) incoming.push({ ...offering, free, readyInS, isOccupied: false });
     }
--- a/src/autoscaler/scale-out-planner.ts
+++ b/src/autoscaler/scale-out-planner.ts
@@ -4,7 +4,7 @@
 import { countFittingTasks } from '../scheduler/placement-constraints.js';
 import type { CapacityDemand } from './capacity-demand.js';
 import { CapacityPool, Reservation } from './capacity-pool.js';
-import { offeringKey, type InstanceOffering, type InstanceType } from './cloud-codec.js';
+import { formatOfferingKey, type InstanceOffering, type InstanceType } from './cloud-codec.js';
 import type { IncomingCapacity } from './incoming-capacity.js';
 
 /** How many instances of an offering to launch. */
@@ -101,7 +101,7 @@
   }
 
   private incrementCount(offering: InstanceOffering): void {
-    const key = offeringKey(offering);
+    const key = formatOfferingKey(offering);
     const plan = this.plansByOffering.get(key) ?? { offering, count: 0 };
     plan.count++;
     this.plansByOffering.set(key, plan);
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -103,7 +103,7 @@
 
   /** Handles a request from a user or a worker. `respond` is called once, either before this method returns or later. */
   handleRequest(request: HttpRequest, respond: Respond): void {
-    this.userApi.handle(request, respond);
+    this.userApi.handleRequest(request, respond);
   }
 
   /** Resigns from the current term after an unexpected error. The next leader rebuilds its state from the state store. */
@@ -203,13 +203,13 @@
     const { settings, clock, log, peers } = this.environment;
     return new LeaseRenewalProxy({
       member: settings.member,
-      valueBytes: settings.state.valueBytes,
+      maxValueBytes: settings.state.valueBytes,
       replica: this.replica,
       batcher: this.batcher,
       clock,
       log,
       refusesConnections: (member) => peers.refusesConnections(member),
-      lastContactMs: (member) => this.election.failureDetector.getLastMessageAtMs(member),
+      getLastContactMs: (member) => this.election.failureDetector.getLastMessageAtMs(member),
     });
   }
 
@@ -225,12 +225,12 @@
       teams: settings.teams,
       replica: this.replica,
       jobDependencies: this.jobDependencies,
-      limits: settings.state,
+      storeLimits: settings.state,
       random,
       batcher: this.batcher,
       clock,
       log,
-      runningTaskCount: (uid) => this.runningTaskCounts.getCount(uid),
+      countRunningTasks: (uid) => this.runningTaskCounts.getCount(uid),
       isStoreAvailable: () => this.storeClient.isStoreAvailable,
       isHealthy: () => this.election.leaderView.isHealthy,
       isShortOfMemory: () => this.memoryGuard.isUnderPressure,
@@ -246,8 +246,8 @@
       log,
       random,
       maxPending: Math.ceil(settings.sockets.forClients * WAITING_HEARTBEATS_SOCKET_SHARE),
-      leader: () => this.election.leaderView.getReachableLeader(),
-      refusingLeader: () => this.heartbeatRouter.refusingLeader(),
+      getReachableLeader: () => this.election.leaderView.getReachableLeader(),
+      getRefusingLeader: () => this.heartbeatRouter.findRefusingLeader(),
       handleLocally: (body, respond) => this.heartbeatRouter.handleLocally(body, respond),
     });
   }
@@ -259,8 +259,8 @@
       leaderView: this.election.leaderView,
       peers,
       clock,
-      leader: () => this.leadership.leader,
-      redirector: () => this.leadership.relayRedirector,
+      getLeaderActor: () => this.leadership.leader,
+      getRedirector: () => this.leadership.relayRedirector,
       leaseRenewalProxy: this.leaseRenewalProxy,
       relay: this.heartbeatRelay,
     });
--- a/src/duties/http-cloud-provider.ts
+++ b/src/duties/http-cloud-provider.ts
@@ -1,7 +1,7 @@
 /** The cloud API that holders of leased roles call to launch and terminate nodes. */
 import type { CloudProvider, LaunchRequest, LaunchResult, TerminationResult } from '@pumicehinge/duties';
 import {
-  decodeLaunched,
+  decodeLaunchedNames,
   decodeRefusalReason,
   encodeLaunch,
   encodeTermination,
@@ -54,7 +54,7 @@
 function decodeLaunchResult(text: string, count: number): LaunchResult {
   let names: string[];
   try {
-    names = decodeLaunched(text);
+    names = decodeLaunchedNames(text);
   } catch {
     return { kind: 'refused', reason: 'trouble' };
   }
--- a/src/leader/cloud-event-handler.ts
+++ b/src/leader/cloud-event-handler.ts
@@ -42,7 +42,7 @@
       provisioner.listInheritedIntents();
     fleetReconciler.adoptTerminations(nodesBeingTerminated, terminatedNodes, nowMs);
     for (const { names, offering } of completedLaunches) this.addLaunchedNodes(names, offering, nowMs);
-    for (const launch of launchesInProgress) autoscaler.adoptLaunch(launch);
+    for (const launch of launchesInProgress) autoscaler.adoptPendingLaunch(launch);
   }
 
   /** Applies one event. Every event except a new catalog requests a scheduling cycle. */
@@ -66,7 +66,7 @@
         fleetReconciler.handleTerminated(event.names, nowMs);
         break;
       case 'listed':
-        autoscaler.markInstancesListed();
+        autoscaler.recordInstanceListRead();
         fleetReconciler.reconcileListing(event, nowMs);
         break;
       default:
@@ -75,9 +75,9 @@
     this.dependencies.requestSchedulingCycle();
   }
 
-  private updateCatalog({ types }: Extract<CloudEvent, { kind: 'catalog' }>): void {
+  private updateCatalog({ instanceTypes }: Extract<CloudEvent, { kind: 'catalog' }>): void {
     const { clusterState, instanceCatalog } = this.dependencies;
-    instanceCatalog.update(types);
+    instanceCatalog.update(instanceTypes);
     for (const node of clusterState.nodes.values())
       clusterState.setCapacity(node, instanceCatalog.getCapacity(node.type));
   }
--- a/src/leader/cluster-components.ts
+++ b/src/leader/cluster-components.ts
@@ -88,7 +88,7 @@
       onWriteCompleted: (result) => this.mailbox.send({ kind: 'jobWriteEnded', result }),
       requestRefresh: (key) => this.refreshKey(key),
       onJobCancelled: (job) => {
-        for (const attempt of job.attemptByTask.values()) this.commandDispatcher.stop(attempt, 0);
+        for (const attempt of job.attemptByTask.values()) this.commandDispatcher.requestStop(attempt, 0);
       },
     });
   }
--- a/src/leader/fleet-reconciler.ts
+++ b/src/leader/fleet-reconciler.ts
@@ -34,9 +34,9 @@
   readonly nodeHealth: NodeHealth;
   readonly reconciliation: Pick<TermReconciliation, 'confirmLeaseExpiry' | 'markReconciled'>;
   readonly nodeRecords: Pick<NodeRecords, 'remove'>;
-  readonly commandDispatcher: Pick<CommandDispatcher, 'stop'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'requestStop'>;
   readonly provisioner: Pick<Provisioner, 'terminate'>;
-  readonly autoscaler: Pick<Autoscaler, 'isHeadroom'>;
+  readonly autoscaler: Pick<Autoscaler, 'isReservedForHeadroom'>;
   readonly spotInterruptionRate: SpotInterruptionRate;
   /** Returns the resources of a node of this instance type. */
   readonly getCapacity: (typeName: string) => Resources;
@@ -171,7 +171,7 @@
       const { job } = attempt;
       if (!job || attempt.state === 'exited') continue;
       if (this.mustStopBeforeInterruption(job, attempt, { remainingS, nowMs }))
-        this.dependencies.commandDispatcher.stop(attempt, DRAIN_GRACE_PERIOD_S);
+        this.dependencies.commandDispatcher.requestStop(attempt, DRAIN_GRACE_PERIOD_S);
     }
   }
 
@@ -218,7 +218,7 @@
   }
 
   private isIdleLongEnough(node: Node, nowMs: number): boolean {
-    if (node.attempts.size > 0 || this.dependencies.autoscaler.isHeadroom(node)) return false;
+    if (node.attempts.size > 0 || this.dependencies.autoscaler.isReservedForHeadroom(node)) return false;
     const idleKeepMs = this.dependencies.settings.operator.idleKeepS * 1000;
     return nowMs - node.idleSinceMs > idleKeepMs && nowMs - node.launchedMs > MIN_BILLED_MS;
   }
--- a/src/leader/leader-components.ts
+++ b/src/leader/leader-components.ts
@@ -3,7 +3,7 @@
  * result of each asynchronous operation that a component starts comes back as a message to the leader.
  */
 import { Autoscaler } from '../autoscaler/autoscaler.js';
-import { CloudClient, leaderCloudRates, type CloudEvent } from '../autoscaler/cloud-client.js';
+import { CloudClient, computeLeaderCloudRates, type CloudEvent } from '../autoscaler/cloud-client.js';
 import { DirectProvisioner, type Provisioner } from '../autoscaler/provisioner.js';
 import { SpotInterruptionRate } from '../autoscaler/spot-interruption-rate.js';
 import { HeartbeatReconciler } from '../cluster/heartbeat-reconciler.js';
@@ -92,7 +92,7 @@
     return new CloudClient({
       caller: httpClient,
       address: settings.cloudAddress,
-      rates: leaderCloudRates(settings.cloud.rps, leasedRoles !== undefined),
+      rates: computeLeaderCloudRates(settings.cloud.rps, leasedRoles !== undefined),
       clock,
       onEvent: (event) => this.mailbox.send({ kind: 'cloudEvent', event }),
       mayCall: () => term.authority.isValid(clock.steadyMs()),
@@ -127,7 +127,7 @@
       instanceTypes: () => instanceCatalog.types,
       isReconciled: () => reconciliation.isComplete,
       wallMs: () => clock.wallMs(),
-      stopTask: (attempt, gracePeriodS) => commandDispatcher.stop(attempt, gracePeriodS),
+      stopTask: (attempt, gracePeriodS) => commandDispatcher.requestStop(attempt, gracePeriodS),
       log,
     });
   }
@@ -141,9 +141,9 @@
       scheduler: this.scheduler,
       term: term.fencingToken,
       instanceTypes: () => instanceCatalog.types,
-      capacityOf: getCapacity,
-      useSpot: settings.operator.useSpot,
-      spotInterruptions: this.spotInterruptionRate,
+      getNodeCapacity: getCapacity,
+      isSpotEnabled: settings.operator.useSpot,
+      spotInterruptionRate: this.spotInterruptionRate,
       startObjectives: settings.startObjectives,
       recentJobs: () => [...jobStore.jobs.values()].filter((job) => job.isService && job.isOpen),
       wallMs: () => clock.wallMs(),
@@ -200,12 +200,12 @@
       heartbeatReconciler,
       replica,
       nodeRecords,
-      commands: commandDispatcher,
+      commandDispatcher,
       nowMs,
       log,
-      capacityOf: getCapacity,
-      wasDeleted: (name) => this.fleetReconciler.wasRecentlyDeleted(name),
-      markReconciled: (node) => reconciliation.markReconciled(node),
+      getNodeCapacity: getCapacity,
+      wasRecentlyDeleted: (name) => this.fleetReconciler.wasRecentlyDeleted(name),
+      onReconciled: (node) => reconciliation.markReconciled(node),
       requestSchedulingCycle: this.mailbox.requestSchedulingCycle,
     });
   }
--- a/src/leader/scheduling-cycle.ts
+++ b/src/leader/scheduling-cycle.ts
@@ -22,7 +22,7 @@
   readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   readonly reconciliation: Pick<TermReconciliation, 'isComplete'>;
   readonly nodeRecords: Pick<NodeRecords, 'flush'>;
-  readonly commandDispatcher: Pick<CommandDispatcher, 'stop'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'requestStop'>;
   readonly scheduler: Pick<Scheduler, 'schedule' | 'preempt'>;
   readonly autoscaler: Pick<Autoscaler, 'scaleOut'>;
   readonly quotas: ReadonlyMap<string, TeamQuota>;
@@ -109,7 +109,7 @@
     if (ending === 'expired')
       log.info({ job: job.uid }, 'pipeline expired; job continues with the successor pipeline');
     if (ending !== 'acceptable') return;
-    for (const attempt of job.attemptByTask.values()) commandDispatcher.stop(attempt, 0);
+    for (const attempt of job.attemptByTask.values()) commandDispatcher.requestStop(attempt, 0);
   }
 
   /** Persists the end of a job, and drops the job once it has no attempts on nodes and nothing left to write. */
--- a/src/leader/task-lifecycle.ts
+++ b/src/leader/task-lifecycle.ts
@@ -9,7 +9,7 @@
 
 /** Dependencies of `TaskLifecycle`. */
 export interface TaskLifecycleDependencies {
-  readonly commandDispatcher: Pick<CommandDispatcher, 'forget'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'discardAttempt'>;
   readonly reconciliation: Pick<TermReconciliation, 'isComplete'>;
   readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   readonly cancellationWatermark: Pick<CancellationWatermark, 'mayStartTasks'>;
@@ -60,7 +60,7 @@
       { task: formatTaskName(attempt), node: node.name, cause, ranS: runTimeS },
       'task exited',
     );
-    this.dependencies.commandDispatcher.forget(attempt);
+    this.dependencies.commandDispatcher.discardAttempt(attempt);
     if (node.attempts.size === 0) node.markIdle(nowMs);
     if (!job) return;
     this.applyExit(job, attempt, { cause, runTimeS, nowMs });
@@ -71,7 +71,7 @@
   handleReleased(attempt: Attempt): void {
     if (attempt.state !== 'planned')
       this.dependencies.log.info({ task: formatTaskName(attempt), node: attempt.node.name }, 'task lost');
-    this.dependencies.commandDispatcher.forget(attempt);
+    this.dependencies.commandDispatcher.discardAttempt(attempt);
     this.dependencies.requestSchedulingCycle();
   }
 
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -88,7 +88,7 @@
    * Requests that the attempt stop, with `gracePeriodS` seconds to save a checkpoint. A request with a shorter grace
    * period overrides an earlier one. An attempt whose start was never sent is withdrawn at once.
    */
-  stop(attempt: Attempt, gracePeriodS: number): void {
+  requestStop(attempt: Attempt, gracePeriodS: number): void {
     if (attempt.state === 'exited') return;
     if (attempt.state === 'planned' && attempt.directStart === 'none') {
       this.dependencies.clusterState.withdrawPlannedAttempt(attempt);
@@ -100,7 +100,7 @@
   }
 
   /** Discards the state of an attempt that has ended. Nothing more is sent for it. */
-  forget(attempt: Attempt): void {
+  discardAttempt(attempt: Attempt): void {
     this.stopSentMs.delete(attempt);
   }
 
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -36,16 +36,16 @@
   readonly heartbeatReconciler: HeartbeatReconciler;
   readonly replica: Pick<StateReplica, 'get'>;
   readonly nodeRecords: Pick<NodeRecords, 'markUsed'>;
-  readonly commands: Pick<CommandDispatcher, 'prepareCommandsForHeartbeat'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'prepareCommandsForHeartbeat'>;
   /** The current steady time in milliseconds. */
   readonly nowMs: () => number;
   readonly log: Logger;
   /** The full resources of a node of this instance type. */
-  readonly capacityOf: (type: string) => Resources;
+  readonly getNodeCapacity: (type: string) => Resources;
   /** Whether a node of this name was deleted recently. */
-  readonly wasDeleted: (name: string) => boolean;
+  readonly wasRecentlyDeleted: (name: string) => boolean;
   /** Called once all attempts on the node are known. */
-  readonly markReconciled: (node: Node) => void;
+  readonly onReconciled: (node: Node) => void;
   /** Called if more tasks may fit than in the last scheduling cycle. */
   readonly requestSchedulingCycle: () => void;
 }
@@ -91,14 +91,14 @@
 
   private classifyFreshness(heartbeat: Heartbeat, knownNode: Node | undefined): HeartbeatFreshness {
     return classifyHeartbeat(heartbeat.fencingToken, this.dependencies.term.fencingToken, {
-      isDeleted: this.dependencies.wasDeleted(heartbeat.nodeName),
+      isDeleted: this.dependencies.wasRecentlyDeleted(heartbeat.nodeName),
       isReconciled: knownNode?.isReconciled ?? false,
     });
   }
 
   private addNode({ heartbeat, relayedBy }: ReceivedHeartbeat): Node {
     const { nodeName: name, address, type, zone, spot } = heartbeat;
-    const capacity = this.dependencies.capacityOf(type);
+    const capacity = this.dependencies.getNodeCapacity(type);
     const description = { name, address, type, zone, spot, capacity };
     const node = this.dependencies.clusterState.addNode(description, this.dependencies.nowMs());
     node.recordRelay(relayedBy);
@@ -115,7 +115,11 @@
       return respond(NOT_ACCEPTED);
     if (isFirstHeartbeat) this.recordFirstHeartbeat(node, nowMs);
     this.recordContact(node);
-    const commands = this.dependencies.commands.prepareCommandsForHeartbeat(node, heartbeat.sequence, nowMs);
+    const commands = this.dependencies.commandDispatcher.prepareCommandsForHeartbeat(
+      node,
+      heartbeat.sequence,
+      nowMs,
+    );
     if (!this.mayRespond()) return respond(NOT_ACCEPTED);
     this.respond(received, node, commands);
   }
@@ -152,7 +156,7 @@
   private recordContact(node: Node): void {
     if (!node.isReconciled) {
       node.markReconciled();
-      this.dependencies.markReconciled(node);
+      this.dependencies.onReconciled(node);
       this.dependencies.requestSchedulingCycle();
     }
     if (node.attempts.size > 0) node.markBusy();
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -20,9 +20,9 @@
   /** Returns a random number, uniformly distributed in [0, 1). */
   readonly random: () => number;
   /** Name of the leader, if it is reachable from this controller. */
-  readonly leader: () => string | undefined;
+  readonly getReachableLeader: () => string | undefined;
   /** Name of the leader, if its host refuses connections from this controller. Workers may still reach it. */
-  readonly refusingLeader: () => string | undefined;
+  readonly getRefusingLeader: () => string | undefined;
   /** Largest number of heartbeats that may wait for a response at the same time. */
   readonly maxPending: number;
   /**
@@ -109,7 +109,7 @@
   private forward(heartbeat: PendingHeartbeat): void {
     const requestId = ++this.lastRequestId;
     this.pendingHeartbeats.set(requestId, heartbeat);
-    const leader = this.dependencies.leader();
+    const leader = this.dependencies.getReachableLeader();
     if (leader === undefined) return;
     // If the channel is full, the next review forwards the heartbeat.
     if (!this.dependencies.channel.send(leader, { kind: 'relay', id: requestId, body: heartbeat.body }))
@@ -129,8 +129,8 @@
 
   private reviewPending(): void {
     const nowMs = this.dependencies.clock.steadyMs();
-    const leader = this.dependencies.leader();
-    const refusingLeader = this.dependencies.refusingLeader();
+    const leader = this.dependencies.getReachableLeader();
+    const refusingLeader = this.dependencies.getRefusingLeader();
     for (const [requestId, heartbeat] of [...this.pendingHeartbeats]) {
       if (refusingLeader === undefined) this.reviewHeartbeat(requestId, heartbeat, leader, nowMs);
       else
--- a/src/workers/heartbeat-router.ts
+++ b/src/workers/heartbeat-router.ts
@@ -40,9 +40,9 @@
   readonly peers: PeerTransport;
   readonly clock: Clock;
   /** The leader actor of this process. Undefined unless this controller leads and is ready. */
-  readonly leader: () => HeartbeatReceiver | undefined;
+  readonly getLeaderActor: () => HeartbeatReceiver | undefined;
   /** Redirects workers from the leader to relays. Undefined unless this controller leads. */
-  readonly redirector: () => RelayRedirector | undefined;
+  readonly getRedirector: () => RelayRedirector | undefined;
   readonly leaseRenewalProxy: Pick<LeaseRenewalProxy, 'shouldRenewLeases' | 'send'>;
   readonly relay: Pick<HeartbeatRelay, 'send'>;
 }
@@ -90,7 +90,7 @@
   }
 
   /** Name of the leader, if it is alive but refuses connections from this controller. Workers may still reach it. */
-  refusingLeader(): string | undefined {
+  findRefusingLeader(): string | undefined {
     const leader = this.findTrustedLeader();
     return leader !== undefined && this.dependencies.peers.refusesConnections(leader) ? leader : undefined;
   }
@@ -106,8 +106,8 @@
    * Undefined if neither can.
    */
   private findLocalReceiver(): HeartbeatReceiver | undefined {
-    const { leader, leaseRenewalProxy } = this.dependencies;
-    return leader() ?? (leaseRenewalProxy.shouldRenewLeases() ? leaseRenewalProxy : undefined);
+    const { getLeaderActor, leaseRenewalProxy } = this.dependencies;
+    return getLeaderActor() ?? (leaseRenewalProxy.shouldRenewLeases() ? leaseRenewalProxy : undefined);
   }
 
   private deliver(receiver: HeartbeatReceiver, heartbeat: Heartbeat, respond: Respond): void {
@@ -122,10 +122,10 @@
    * may be unable to reach the one that was named before.
    */
   private findBetterTarget({ zone, nodeName, sequence }: Heartbeat): string | undefined {
-    const { leaderView, self, redirector, clock } = this.dependencies;
+    const { leaderView, self, getRedirector, clock } = this.dependencies;
     const targets = leaderView.listHeartbeatTargets(zone);
     const shouldRedirect =
-      zone !== self.zone || redirector()?.tryRedirect(nodeName, targets.length, clock.steadyMs()) === true;
+      zone !== self.zone || getRedirector()?.tryRedirect(nodeName, targets.length, clock.steadyMs()) === true;
     if (!shouldRedirect || targets.length === 0) return undefined;
     return targets[(hashName(nodeName) + Number(sequence)) % targets.length];
   }
@@ -141,7 +141,7 @@
         status: response.status,
         body: response.body,
       });
-    const leader = this.dependencies.leader();
+    const leader = this.dependencies.getLeaderActor();
     const heartbeat = leader && parseHeartbeat(body);
     if (!heartbeat) return respond({ status: 503, body: '{}' });
     leader.send({
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -31,7 +31,7 @@
   /** Name of this controller. */
   readonly member: string;
   /** Largest size of a value in the state store, in bytes. */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   readonly replica: Pick<StateReplica, 'get' | 'listPrefix' | 'linearizableRead'>;
   readonly batcher: Pick<TransactionBatcher, 'commit'>;
   readonly clock: Clock;
@@ -41,7 +41,7 @@
    */
   readonly refusesConnections: (member: string) => boolean;
   /** Steady time in milliseconds of the last message from the member. */
-  readonly lastContactMs: (member: string) => number;
+  readonly getLastContactMs: (member: string) => number;
 }
 
 /** A heartbeat that waits for its response. */
@@ -125,7 +125,7 @@
     }
     // A new leader has had no time yet to send a message. After a restart of this process the same holds for a leader
     // that has led for longer.
-    const lastContactMs = Math.max(this.dependencies.lastContactMs(leader.member), this.leaderFirstSeenMs);
+    const lastContactMs = Math.max(this.dependencies.getLastContactMs(leader.member), this.leaderFirstSeenMs);
     return this.dependencies.clock.steadyMs() - lastContactMs > LEASE_PROXY_ACTIVATION_MS;
   }
 
@@ -203,7 +203,7 @@
   }
 
   private takeBatch(): PendingHeartbeat[] {
-    const maxNodesPerValue = Math.floor(this.dependencies.valueBytes / MAX_NODE_NAME_BYTES) - 1;
+    const maxNodesPerValue = Math.floor(this.dependencies.maxValueBytes / MAX_NODE_NAME_BYTES) - 1;
     return this.awaitingDelegation.splice(
       0,
       Math.max(1, Math.min(MAX_DELEGATED_LEASES_PER_KEY, maxNodesPerValue)),
--- a/test/autoscaler/cloud-client.test.ts
+++ b/test/autoscaler/cloud-client.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { CloudClient, leaderCloudRates } from '../../src/autoscaler/cloud-client.js';
+import { CloudClient, computeLeaderCloudRates } from '../../src/autoscaler/cloud-client.js';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 
 // Guards against calls after a pause of the process in which the authority of the leader ended.
@@ -17,7 +17,7 @@
       },
     },
     address: 'cloud:1',
-    rates: leaderCloudRates(2, false),
+    rates: computeLeaderCloudRates(2, false),
     clock,
     onEvent: () => undefined,
     mayCall: () => hasAuthority,
--- a/test/golden/cloud-calls.test.ts
+++ b/test/golden/cloud-calls.test.ts
@@ -4,14 +4,14 @@
 import { pino } from 'pino';
 import type { InstanceOffering, LaunchRequest, LaunchResult } from '@pumicehinge/duties';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
-import { CloudClient, leaderCloudRates, type CloudEvent } from '../../src/autoscaler/cloud-client.js';
+import { CloudClient, computeLeaderCloudRates, type CloudEvent } from '../../src/autoscaler/cloud-client.js';
 import {
   decodeCatalog,
-  decodeInstanceList,
-  decodeLaunched,
+  decodeInstancePage,
+  decodeLaunchedNames,
   encodeLaunch,
   encodeTermination,
-  offeringKey,
+  formatOfferingKey,
   type CloudInstance,
   type InstanceType,
 } from '../../src/autoscaler/cloud-codec.js';
@@ -38,8 +38,8 @@
   );
   forms.check('return: two', formatJson(encodeTermination(INSTANCE_NAMES)));
   forms.check('return: none', formatJson(encodeTermination([])));
-  forms.check('offer: spot', offeringKey(SPOT_OFFERING));
-  forms.check('offer: ordinary', offeringKey(ON_DEMAND_OFFERING));
+  forms.check('offer: spot', formatOfferingKey(SPOT_OFFERING));
+  forms.check('offer: ordinary', formatOfferingKey(ON_DEMAND_OFFERING));
 });
 
 const CATALOG_BODY =
@@ -105,12 +105,12 @@
 
 test('response bodies of the cloud are decoded', () => {
   assert.deepEqual(decodeCatalog(CATALOG_BODY), INSTANCE_TYPES);
-  assert.deepEqual(decodeInstanceList(INSTANCE_LIST_BODY), { instances: LISTED_INSTANCES, more: true });
-  assert.deepEqual(decodeInstanceList('{}'), { instances: [], more: false });
-  assert.deepEqual(decodeLaunched('{"hearths":["vm-1","vm-2"],"later":1}'), ['vm-1', 'vm-2']);
-  assert.deepEqual(decodeLaunched('{}'), []);
+  assert.deepEqual(decodeInstancePage(INSTANCE_LIST_BODY), { instances: LISTED_INSTANCES, hasMore: true });
+  assert.deepEqual(decodeInstancePage('{}'), { instances: [], hasMore: false });
+  assert.deepEqual(decodeLaunchedNames('{"hearths":["vm-1","vm-2"],"later":1}'), ['vm-1', 'vm-2']);
+  assert.deepEqual(decodeLaunchedNames('{}'), []);
   for (const text of ['', '[]', '7', '{'])
-    for (const decode of [decodeCatalog, decodeInstanceList, decodeLaunched])
+    for (const decode of [decodeCatalog, decodeInstancePage, decodeLaunchedNames])
       assert.throws(() => decode(text), Error, text);
   assert.throws(() => decodeCatalog('{}'));
 });
@@ -131,7 +131,7 @@
   const cloud = new CloudClient({
     caller,
     address: 'cloud:1',
-    rates: leaderCloudRates(6, false),
+    rates: computeLeaderCloudRates(6, false),
     clock,
     onEvent: (event) => events.push(event),
     mayCall: () => true,
@@ -151,7 +151,7 @@
   distinctCalls.forEach((call, index) => forms.check(`call of a leader ${index + 1}`, call));
   const findEvent = (kind: CloudEvent['kind']): CloudEvent | undefined =>
     events.find((event) => event.kind === kind);
-  assert.deepEqual(findEvent('catalog'), { kind: 'catalog', types: INSTANCE_TYPES });
+  assert.deepEqual(findEvent('catalog'), { kind: 'catalog', instanceTypes: INSTANCE_TYPES });
   const listedEvent = events.find((event) => event.kind === 'listed');
   assert.deepEqual(listedEvent?.instances, LISTED_INSTANCES);
   assert.deepEqual(findEvent('launched'), { kind: 'launched', request: spotRequest, names: INSTANCE_NAMES });
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -10,7 +10,7 @@
 } from '../src/constants.js';
 import { settingsWarnings } from '../src/settings-warnings.js';
 import type { Settings } from '../src/settings.js';
-import { CloudClient, leaderCloudRates, type CloudEvent } from '../src/autoscaler/cloud-client.js';
+import { CloudClient, computeLeaderCloudRates, type CloudEvent } from '../src/autoscaler/cloud-client.js';
 import type { HttpCaller } from '../src/http/message.js';
 import { AnswerTooLargeError } from '../src/http/message.js';
 import { MemoryGuard } from '../src/memory-guard.js';
@@ -215,7 +215,7 @@
   const cloudClient = new CloudClient({
     caller,
     address: 'c:1',
-    rates: leaderCloudRates(REQUESTS_PER_SECOND, false),
+    rates: computeLeaderCloudRates(REQUESTS_PER_SECOND, false),
     clock,
     onEvent,
     mayCall: () => true,
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -123,7 +123,7 @@
   bodies.length = 0;
   const formatStopBody = (gracePeriodS: number): string =>
     `{"baton":3,"tenure":0,"orders":[{"verb":"stop","piece":"job-000001/0","try":7,"leewayS":${gracePeriodS}}]}`;
-  dispatcher.stop(attempt, 30);
+  dispatcher.requestStop(attempt, 30);
   const steps: [name: string, atMs: number, gracePeriodS: number, expected: string[]][] = [
     ['first', 10, 30, [formatStopBody(30)]],
     ['too early', 9 + STOP_RESEND_INTERVAL_MS, 30, []],
@@ -133,7 +133,7 @@
   ];
   for (const [name, atMs, gracePeriodS, expected] of steps) {
     bodies.length = 0;
-    dispatcher.stop(attempt, gracePeriodS);
+    dispatcher.requestStop(attempt, gracePeriodS);
     await sendPending(atMs);
     assert.deepEqual(bodies, expected, name);
   }
@@ -141,6 +141,6 @@
 
 test('an attempt whose start was never sent is withdrawn when it is stopped', () => {
   const { attempt, node, dispatcher } = setUp(() => assert.fail('nothing is sent'));
-  dispatcher.stop(attempt, 30);
+  dispatcher.requestStop(attempt, 30);
   assert.equal(node.attempts.size, 0);
 });
--- a/test/workers/heartbeat-relay.test.ts
+++ b/test/workers/heartbeat-relay.test.ts
@@ -36,8 +36,8 @@
       onMessage: (listener) => (deliverPeerMessage = listener),
     },
     maxPending: MAX_PENDING,
-    leader: () => cluster.leader,
-    refusingLeader: () => cluster.refusingLeader,
+    getReachableLeader: () => cluster.leader,
+    getRefusingLeader: () => cluster.refusingLeader,
     handleLocally: (_body, respond) => {
       if (cluster.isProxyActive) respond({ status: 200, body: 'proxy' });
       return cluster.isProxyActive;
--- a/test/workers/lease-renewal-proxy.test.ts
+++ b/test/workers/lease-renewal-proxy.test.ts
@@ -11,7 +11,7 @@
   const cluster = { modRevision: 1, lastContactMs: -Infinity, refusesConnections: false, leader: 'c1' };
   const proxy = new LeaseRenewalProxy({
     member: 'c0',
-    valueBytes: 8192,
+    maxValueBytes: 8192,
     replica: {
       get: (key: string) =>
         key === LEADER_KEY
@@ -24,7 +24,7 @@
     clock,
     log: pino({ level: 'silent' }),
     refusesConnections: () => cluster.refusesConnections,
-    lastContactMs: () => cluster.lastContactMs,
+    getLastContactMs: () => cluster.lastContactMs,
   });
   const silenceMs = LEASE_PROXY_ACTIVATION_MS + 100;
   const steps: [name: string, afterMs: number, change: Partial<typeof cluster>, shouldRenew: boolean][] = [
