--- a/src/api/codec.ts
+++ b/src/api/codec.ts
@@ -1,7 +1,7 @@
 /** Encodes and decodes the wire format of the user API. Only this module knows its paths, field names and values. */
 import { MAX_TASKS_PER_JOB } from '../constants.js';
 import type { JobSpec, Rank } from '../state/records.js';
-import { isObject, parseJson } from '../wire/json.js';
+import { isJsonObject, parseJson } from '../wire/json.js';
 
 /** Path of health checks. */
 export const HEALTH_PATH = '/healthz';
@@ -92,7 +92,7 @@
   } catch (error) {
     throw new MalformedSubmissionError('not JSON', { cause: error });
   }
-  if (!isObject(value)) throw new MalformedSubmissionError('not an object');
+  if (!isJsonObject(value)) throw new MalformedSubmissionError('not an object');
   return value;
 }
 
--- a/src/api/request-limiter.ts
+++ b/src/api/request-limiter.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
 import { MAX_USER_REQUESTS_IN_PROGRESS } from '../constants.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import { TRY_AGAIN } from './responses.js';
 
 /** Dependencies of `RequestLimiter`. */
@@ -25,10 +25,10 @@
   constructor(private readonly dependencies: RequestLimiterDependencies) {}
 
   /** Responds with the result of `handleRequest`, or with 503 if it fails or takes longer than `timeoutMs`. */
-  run(timeoutMs: number, respond: Respond, handleRequest: () => Promise<HttpResponse>): void {
+  run(timeoutMs: number, respond: ResponseCallback, handleRequest: () => Promise<HttpResponse>): void {
     const { clock, log, isShortOfMemory } = this.dependencies;
     if (this.requestsInProgress >= MAX_USER_REQUESTS_IN_PROGRESS) return respond(TRY_AGAIN);
-    if (isShortOfMemory()) return respond({ ...TRY_AGAIN, close: true });
+    if (isShortOfMemory()) return respond({ ...TRY_AGAIN, closesConnection: true });
     this.requestsInProgress++;
     let hasFinished = false;
     const finish = (response: HttpResponse): void => {
@@ -51,6 +51,6 @@
    */
   private closeIfUnhealthy(response: HttpResponse): HttpResponse {
     const shouldClose = response.status === 503 && !this.dependencies.isHealthy();
-    return shouldClose ? { ...response, close: true } : response;
+    return shouldClose ? { ...response, closesConnection: true } : response;
   }
 }
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 import type { Heartbeat } from '../cluster/worker-messages.js';
 import { POLL_TIMEOUT_MS, SUBMISSION_TIMEOUT_MS } from '../constants.js';
-import type { HttpRequest, HttpResponse, Respond } from '../http/message.js';
+import type { HttpRequest, HttpResponse, ResponseCallback } from '../http/message.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import type { TeamQuota } from '../scheduler/team-quota.js';
 import type { StateReplica } from '../state/state-replica.js';
@@ -45,7 +45,7 @@
   /** Whether this controller can serve users. */
   readonly isHealthy: () => boolean;
   /** Routes a worker's heartbeat. A heartbeat that is accepted is answered through `respond`. */
-  readonly routeHeartbeat: (heartbeat: Heartbeat, body: string, respond: Respond) => HeartbeatRoute;
+  readonly routeHeartbeat: (heartbeat: Heartbeat, body: string, respond: ResponseCallback) => HeartbeatRoute;
 }
 
 /** The HTTP interface of every controller. It serves users and receives the workers' heartbeats. */
@@ -65,7 +65,7 @@
   }
 
   /** Handles one request. `respond` is called once, now or later. */
-  handleRequest(request: HttpRequest, respond: Respond): void {
+  handleRequest(request: HttpRequest, respond: ResponseCallback): void {
     if (request.path === HEARTBEAT_PATH) return this.handleHeartbeat(request, respond);
     if (request.path === HEALTH_PATH) return respond(this.healthResponse(request));
     if (request.path === SUBMISSIONS_PATH) return this.handleSubmission(request, respond);
@@ -78,13 +78,13 @@
     return this.dependencies.isHealthy() ? jsonResponse(200, { status: 'ok' }) : TRY_AGAIN;
   }
 
-  private handleSubmission({ method, body }: HttpRequest, respond: Respond): void {
+  private handleSubmission({ method, body }: HttpRequest, respond: ResponseCallback): void {
     if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
     this.requestLimiter.run(SUBMISSION_TIMEOUT_MS, respond, () => this.submissionHandler.submit(body));
   }
 
   /** Handles a status request for one job, or its cancellation. */
-  private handleJobRequest({ method, path }: HttpRequest, respond: Respond): void {
+  private handleJobRequest({ method, path }: HttpRequest, respond: ResponseCallback): void {
     const [uid = '', action, extraSegment] = path.slice(SUBMISSIONS_PATH.length + 1).split('/');
     if (extraSegment === undefined && action === CANCEL_ACTION) {
       if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
@@ -112,7 +112,7 @@
     return jsonResponse(200, encodeJobStatus(uid, status));
   }
 
-  private handleHeartbeat({ method, body }: HttpRequest, respond: Respond): void {
+  private handleHeartbeat({ method, body }: HttpRequest, respond: ResponseCallback): void {
     if (method !== 'POST') return respond(errorResponse(405, 'POST only'));
     const heartbeat = parseHeartbeat(body);
     if (!heartbeat) return respond(errorResponse(400, 'no report'));
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -16,7 +16,7 @@
   MAX_INSTANCES_PER_TERMINATION,
   STATE_RETRY_DELAY_MS,
 } from '../constants.js';
-import type { HttpCaller, HttpResponse } from '../http/message.js';
+import type { HttpClient, HttpResponse } from '../http/message.js';
 import { formatJson } from '../wire/json.js';
 import {
   CATALOG_TARGET,
@@ -66,7 +66,7 @@
 
 /** Dependencies of CloudClient. */
 export interface CloudClientDependencies {
-  readonly caller: HttpCaller;
+  readonly caller: HttpClient;
   /** Host and port of the cloud. */
   readonly address: string;
   readonly rates: CloudRates;
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -5,7 +5,7 @@
 import type { InstanceOffering, LaunchRefusalReason, LaunchRequest } from '@pumicehinge/duties';
 import { INSTANCE_LIST_PAGE_SIZE } from '../constants.js';
 import type { InstanceType } from '../state/records/instance-types.js';
-import { isObject, parseJson } from '../wire/json.js';
+import { isJsonObject, parseJson } from '../wire/json.js';
 
 export type { InstanceOffering, LaunchRequest } from '@pumicehinge/duties';
 export type { InstanceType } from '../state/records/instance-types.js';
@@ -67,7 +67,7 @@
 export function decodeCatalog(text: string): InstanceType[] {
   const list = parseObject(text).builds;
   if (!Array.isArray(list)) throw new MalformedCloudResponseError('a catalog');
-  return list.filter(isObject).map(decodeInstanceType);
+  return list.filter(isJsonObject).map(decodeInstanceType);
 }
 
 /**
@@ -77,7 +77,7 @@
 export function decodeInstancePage(text: string): InstancePage {
   const body = parseObject(text);
   const list = Array.isArray(body.hearths) ? body.hearths : [];
-  return { instances: list.filter(isObject).map(decodeInstance), hasMore: body.more === true };
+  return { instances: list.filter(isJsonObject).map(decodeInstance), hasMore: body.more === true };
 }
 
 /**
@@ -117,7 +117,7 @@
   } catch (cause) {
     throw new MalformedCloudResponseError('JSON', { cause });
   }
-  if (!isObject(body)) throw new MalformedCloudResponseError('an object');
+  if (!isJsonObject(body)) throw new MalformedCloudResponseError('an object');
   return body;
 }
 
--- a/src/autoscaler/spot-interruption-rate.ts
+++ b/src/autoscaler/spot-interruption-rate.ts
@@ -7,7 +7,7 @@
   SPOT_PRIOR_WEIGHT_HOURS,
   SPOT_PRIOR_INTERRUPTIONS_PER_HOUR,
 } from '../constants.js';
-import { isObject } from '../wire/json.js';
+import { isJsonObject } from '../wire/json.js';
 
 /**
  * The rate of interruptions per hour of use, as observed by this leader and the leaders before it. The estimate starts
@@ -24,7 +24,7 @@
   /** Continues from the record of the previous leader, if `storedRecord` is one. */
   constructor(storedRecord: unknown, nowMs: number) {
     this.lastUsageMs = nowMs;
-    if (!isObject(storedRecord)) return;
+    if (!isJsonObject(storedRecord)) return;
     this.interruptions = Number(storedRecord.lost) || 0;
     this.hoursOfUse = Number(storedRecord.hours) || 0;
   }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -14,7 +14,7 @@
 import { findObsoleteRecords } from './duties/obsolete-records.js';
 import { CancellationWatermark, computeMaxCancellationLagMs } from './election/cancellation-watermark.js';
 import { Election } from './election/election.js';
-import type { HttpCaller, HttpRequest, Respond } from './http/message.js';
+import type { HttpClient, HttpRequest, ResponseCallback } from './http/message.js';
 import { Leadership } from './leader/leadership.js';
 import { RunningTaskCounts } from './leader/running-task-counts.js';
 import { MemoryGuard } from './memory-guard.js';
@@ -39,13 +39,13 @@
   /** When this process started, in milliseconds on the steady clock. */
   readonly processStartMs: number;
   /** Returns how many bytes of heap and buffers are in use. */
-  readonly memoryUsedBytes: () => number;
+  readonly measureUsedBytes: () => number;
   /** The client for calls to the state store and the cloud. */
-  readonly httpClient: HttpCaller;
+  readonly httpClient: HttpClient;
   /** The client for calls to workers. */
-  readonly workerHttpClient: HttpCaller;
+  readonly workerHttpClient: HttpClient;
   /** The transport to the other controllers. */
-  readonly peers: PeerTransport;
+  readonly peerTransport: PeerTransport;
   readonly log: Logger;
 }
 
@@ -74,7 +74,7 @@
     this.storeClient = this.createStoreClient();
     this.replica = new StateReplica(this.storeClient, ROOT_PREFIX, clock, log);
     this.cancellationWatermark = new CancellationWatermark(
-      computeMaxCancellationLagMs(settings.cancelS, settings.leaseS),
+      computeMaxCancellationLagMs(settings.maxCancellationS, settings.leaseDurationS),
     );
     this.jobDependencies = this.createJobDependencies();
     this.replica.onSynced((requestedMs) => this.cancellationWatermark.advance(requestedMs));
@@ -102,7 +102,7 @@
   }
 
   /** Handles a request from a user or a worker. `respond` is called once, either before this method returns or later. */
-  handleRequest(request: HttpRequest, respond: Respond): void {
+  handleRequest(request: HttpRequest, respond: ResponseCallback): void {
     this.userApi.handleRequest(request, respond);
   }
 
@@ -115,10 +115,10 @@
     const { settings, clock, httpClient } = this.environment;
     return new StoreClient({
       caller: httpClient,
-      address: settings.stateAddress,
+      address: settings.stateStoreAddress,
       clock,
-      limits: settings.state,
-      controllerCount: settings.controllers,
+      limits: settings.stateLimits,
+      controllerCount: settings.controllerCount,
     });
   }
 
@@ -134,7 +134,7 @@
   }
 
   private createElection(): Election {
-    const { settings, clock, random, peers, processStartMs, log } = this.environment;
+    const { settings, clock, random, peerTransport, processStartMs, log } = this.environment;
     return new Election({
       member: settings.member,
       zone: settings.zone,
@@ -142,7 +142,7 @@
       peers: settings.peers,
       storeClient: this.storeClient,
       replica: this.replica,
-      transport: peers,
+      transport: peerTransport,
       callbacks: {
         onElected: (term) => void this.leadership.beginTerm(term),
         onLeadershipLost: () => this.leadership.endTerm(),
@@ -150,7 +150,7 @@
       clock,
       random,
       watermark: this.cancellationWatermark,
-      maxValueBytes: settings.state.valueBytes,
+      maxValueBytes: settings.stateLimits.valueBytes,
       processStartMs,
       log,
     });
@@ -159,7 +159,7 @@
   private createLeasedRoles(): LeasedRoles {
     const { settings, clock, random, log, httpClient } = this.environment;
     const { replica, batcher, storeClient } = this;
-    const usableRequestsPerSecond = settings.cloud.rps * CLOUD_RATE_SHARE;
+    const usableRequestsPerSecond = settings.cloudLimits.rps * CLOUD_RATE_SHARE;
     const cloudRateShares = DELEGATED_CLOUD_RATE_SHARES;
     return new LeasedRoles({
       member: settings.member,
@@ -167,7 +167,7 @@
       cloudProvider: new HttpCloudProvider(httpClient, settings.cloudAddress),
       currentLeader: () => readCurrentLeader(replica),
       findObsoleteRecords: (limit) => findObsoleteRecords(replica, limit),
-      maxTransactionOperations: settings.state.maxTransactionOperations,
+      maxTransactionOperations: settings.stateLimits.maxTransactionOperations,
       cloudRequestsPerSecond: {
         rent: usableRequestsPerSecond * cloudRateShares.rent,
         return: usableRequestsPerSecond * cloudRateShares.return,
@@ -200,23 +200,23 @@
   }
 
   private createLeaseRenewalProxy(): LeaseRenewalProxy {
-    const { settings, clock, log, peers } = this.environment;
+    const { settings, clock, log, peerTransport } = this.environment;
     return new LeaseRenewalProxy({
       member: settings.member,
-      maxValueBytes: settings.state.valueBytes,
+      maxValueBytes: settings.stateLimits.valueBytes,
       replica: this.replica,
       batcher: this.batcher,
       clock,
       log,
-      refusesConnections: (member) => peers.refusesConnections(member),
+      refusesConnections: (member) => peerTransport.refusesConnections(member),
       getLastContactMs: (member) => this.election.failureDetector.getLastMessageAtMs(member),
     });
   }
 
   private createMemoryGuard(): MemoryGuard {
-    const { settings, clock, log, memoryUsedBytes } = this.environment;
+    const { settings, clock, log, measureUsedBytes } = this.environment;
     const { rejectUsersAboveBytes } = divideMemory(settings.memoryBytes, settings.peers.length);
-    return new MemoryGuard(clock, memoryUsedBytes, rejectUsersAboveBytes, log);
+    return new MemoryGuard(clock, measureUsedBytes, rejectUsersAboveBytes, log);
   }
 
   private createUserApi(): UserApi {
@@ -225,7 +225,7 @@
       teams: settings.teams,
       replica: this.replica,
       jobDependencies: this.jobDependencies,
-      storeLimits: settings.state,
+      storeLimits: settings.stateLimits,
       random,
       batcher: this.batcher,
       clock,
@@ -239,13 +239,13 @@
   }
 
   private createHeartbeatRelay(): HeartbeatRelay {
-    const { settings, clock, random, log, peers } = this.environment;
+    const { settings, clock, random, log, peerTransport } = this.environment;
     return new HeartbeatRelay({
       clock,
-      channel: peers,
+      channel: peerTransport,
       log,
       random,
-      maxPending: Math.ceil(settings.sockets.forClients * WAITING_HEARTBEATS_SOCKET_SHARE),
+      maxPending: Math.ceil(settings.socketLimits.maxClientConnections * WAITING_HEARTBEATS_SOCKET_SHARE),
       getReachableLeader: () => this.election.leaderView.getReachableLeader(),
       getRefusingLeader: () => this.heartbeatRouter.findRefusingLeader(),
       handleLocally: (body, respond) => this.heartbeatRouter.handleLocally(body, respond),
@@ -253,11 +253,11 @@
   }
 
   private createHeartbeatRouter(): HeartbeatRouter {
-    const { settings, clock, peers } = this.environment;
+    const { settings, clock, peerTransport } = this.environment;
     return new HeartbeatRouter({
       self: { member: settings.member, zone: settings.zone },
       leaderView: this.election.leaderView,
-      peers,
+      peers: peerTransport,
       clock,
       getLeaderActor: () => this.leadership.leader,
       getRedirector: () => this.leadership.relayRedirector,
@@ -267,10 +267,10 @@
   }
 
   private createRunningTaskCounts(): RunningTaskCounts {
-    const { settings, clock, peers } = this.environment;
+    const { settings, clock, peerTransport } = this.environment;
     return new RunningTaskCounts({
       peers: settings.peers,
-      transport: peers,
+      transport: peerTransport,
       clock,
       getLeader: () => this.leadership.leader,
     });
--- a/src/duties/http-cloud-provider.ts
+++ b/src/duties/http-cloud-provider.ts
@@ -9,14 +9,14 @@
   TERMINATE_TARGET,
 } from '../autoscaler/cloud-codec.js';
 import { CLOUD_CALL_TIMEOUT_MS } from '../constants.js';
-import type { HttpCaller, HttpResponse } from '../http/message.js';
+import type { HttpClient, HttpResponse } from '../http/message.js';
 import { formatJson } from '../wire/json.js';
 
 /** Calls the cloud over HTTP. It sends each request once, as the caller decides about retries. */
 export class HttpCloudProvider implements CloudProvider {
   /** `address` is the host and port of the cloud. */
   constructor(
-    private readonly caller: HttpCaller,
+    private readonly caller: HttpClient,
     private readonly address: string,
   ) {}
 
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -8,10 +8,10 @@
   MAX_POOL_CONNECTIONS,
 } from '../constants.js';
 import {
-  AnswerTooLargeError,
-  CallError,
-  type CallFailure,
-  type HttpCaller,
+  ResponseTooLargeError,
+  HttpCallError,
+  type HttpCallFailure,
+  type HttpClient,
   type HttpResponse,
 } from './message.js';
 import { HttpParser, HttpSyntaxError } from './parser.js';
@@ -21,7 +21,7 @@
 interface PendingCall {
   requestText: string;
   resolve: (response: HttpResponse) => void;
-  reject: (error: CallError) => void;
+  reject: (error: HttpCallError) => void;
   /** Whether the request was written to a socket. */
   isSent: boolean;
   /** Whether the call was resolved or rejected. */
@@ -29,7 +29,7 @@
   cancelTimer: () => void;
 }
 
-const determineFailure = (call: PendingCall): CallFailure => (call.isSent ? 'unclear' : 'unsent');
+const determineFailure = (call: PendingCall): HttpCallFailure => (call.isSent ? 'unclear' : 'unsent');
 
 /** A kept-alive connection that carries one call at a time. */
 class ClientConnection {
@@ -108,7 +108,7 @@
     this.call = undefined;
     this.socket.destroy();
     call?.reject(
-      isTooLarge ? new AnswerTooLargeError(reason) : new CallError(determineFailure(call), reason),
+      isTooLarge ? new ResponseTooLargeError(reason) : new HttpCallError(determineFailure(call), reason),
     );
     this.onReleased(this, false);
   }
@@ -166,7 +166,7 @@
 
   submit(call: PendingCall): void {
     if (this.queuedCalls.length >= MAX_POOL_QUEUE_CALLS) {
-      call.reject(new CallError('unsent', 'too many queued calls'));
+      call.reject(new HttpCallError('unsent', 'too many queued calls'));
       return;
     }
     this.queuedCalls.push(call);
@@ -216,7 +216,7 @@
 
   private rejectQueuedCalls(): void {
     for (const call of this.queuedCalls.splice(0))
-      call.reject(new CallError('unsent', 'connection limit reached'));
+      call.reject(new HttpCallError('unsent', 'connection limit reached'));
   }
 
   private openConnection(): ClientConnection | undefined {
@@ -243,7 +243,7 @@
 }
 
 /** HTTP client with a bounded pool of connections per address and a timeout per call. */
-export class SocketCaller implements HttpCaller {
+export class SocketHttpClient implements HttpClient {
   private readonly pools = new Map<string, ConnectionPool>();
   private cancelIdleSweep = (): void => undefined;
   private readonly budget: ConnectionBudget;
@@ -262,7 +262,7 @@
   }
 
   /**
-   * Sends a request and resolves with its response. Rejects with a `CallError` if the connection fails, if the timeout expires
+   * Sends a request and resolves with its response. Rejects with an `HttpCallError` if the connection fails, if the timeout expires
    * or if too many calls wait for a connection.
    */
   call(
@@ -297,7 +297,7 @@
         },
       };
       call.cancelTimer = this.clock.setTimer(timeoutMs, () =>
-        call.reject(new CallError(determineFailure(call), 'timed out')),
+        call.reject(new HttpCallError(determineFailure(call), 'timed out')),
       );
       let pool = this.pools.get(address);
       if (!pool)
--- a/src/http/message.ts
+++ b/src/http/message.ts
@@ -17,24 +17,24 @@
   /** Value of the `Retry-After` header in seconds. */
   retryAfterS?: number;
   /** Whether the server closes the connection after this response. */
-  close?: boolean;
+  closesConnection?: boolean;
 }
 
 /** Sends the response to one request. */
-export type Respond = (response: HttpResponse) => void;
+export type ResponseCallback = (response: HttpResponse) => void;
 /** Handles one request and calls `respond` when its response is known. */
-export type RequestHandler = (request: HttpRequest, respond: Respond) => void;
+export type RequestHandler = (request: HttpRequest, respond: ResponseCallback) => void;
 
 /**
  * What is known about a request whose call failed. An `unsent` request was never executed. An `unclear` request may have been
  * executed, or may still be executed later.
  */
-export type CallFailure = 'unsent' | 'unclear';
+export type HttpCallFailure = 'unsent' | 'unclear';
 
 /** A call that ended without a response. */
-export class CallError extends Error {
+export class HttpCallError extends Error {
   constructor(
-    readonly failure: CallFailure,
+    readonly failure: HttpCallFailure,
     reason: string,
   ) {
     super(reason);
@@ -42,15 +42,15 @@
 }
 
 /** The response exceeded the size limit of the client. The request was executed. */
-export class AnswerTooLargeError extends CallError {
+export class ResponseTooLargeError extends HttpCallError {
   constructor(reason: string) {
     super('unclear', reason);
   }
 }
 
 /** An HTTP client. The real one uses sockets, and tests use one with a simulated network. */
-export interface HttpCaller {
-  /** Sends a request and resolves with its response. Rejects with a `CallError` if none arrives within `timeoutMs`. */
+export interface HttpClient {
+  /** Sends a request and resolves with its response. Rejects with an `HttpCallError` if none arrives within `timeoutMs`. */
   call(
     address: string,
     method: string,
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -131,7 +131,8 @@
       this.lastActivityMs = this.clock.steadyMs();
       if (this.socket.destroyed) return;
       this.onResponse();
-      const keepAlive = message.keepAlive && response.close !== true && !this.areConnectionsScarce();
+      const keepAlive =
+        message.keepAlive && response.closesConnection !== true && !this.areConnectionsScarce();
       this.socket.write(formatResponse(response, keepAlive));
       if (!keepAlive || this.isHalfClosed) {
         this.socket.end();
@@ -153,7 +154,7 @@
  * Listens on `address` ("ip:port") and passes each request to `handler`. Resolves when the server is listening. Connections
  * beyond `maxConnections` are closed at once unless an abandoned one can be closed instead.
  */
-export function serveHttp(
+export function startHttpServer(
   address: string,
   maxConnections: number,
   handler: RequestHandler,
--- a/src/leader/cluster-components.ts
+++ b/src/leader/cluster-components.ts
@@ -81,8 +81,8 @@
     return new JobStore({
       replica,
       commit: this.commit,
-      objectives: settings.objectives,
-      maxOperations: settings.state.maxTransactionOperations,
+      objectives: settings.deadlineObjectives,
+      maxOperations: settings.stateLimits.maxTransactionOperations,
       wallMs: () => clock.wallMs(),
       log,
       onWriteCompleted: (result) => this.mailbox.send({ kind: 'jobWriteEnded', result }),
@@ -127,7 +127,7 @@
     const { settings, term, replica, log } = this.dependencies;
     return new TermReconciliation({
       fencingToken: term.fencingToken,
-      leaseS: settings.leaseS,
+      leaseS: settings.leaseDurationS,
       clusterState: this.clusterState,
       replica,
       commit: this.commit,
@@ -149,7 +149,7 @@
       isStateStoreAvailable,
       nowMs: this.nowMs,
       termStartMs: this.termStartMs,
-      heartbeatIntervalS: settings.reportS,
+      heartbeatIntervalS: settings.heartbeatIntervalS,
       log,
       requestSchedulingCycle: this.mailbox.requestSchedulingCycle,
     });
@@ -158,7 +158,7 @@
   private createNodeHealth(): NodeHealth {
     return new NodeHealth({
       clusterState: this.clusterState,
-      heartbeatIntervalS: this.dependencies.settings.reportS,
+      heartbeatIntervalS: this.dependencies.settings.heartbeatIntervalS,
       termStartMs: this.termStartMs,
       findInstanceType: (typeName) => this.instanceCatalog.types.get(typeName),
       findJob: (uid) => this.jobStore.jobs.get(uid),
@@ -172,8 +172,8 @@
     return new NodeRecords({
       replica,
       termNumber: term.fencingToken,
-      maxValueBytes: settings.state.valueBytes,
-      maxOperations: settings.state.maxTransactionOperations,
+      maxValueBytes: settings.stateLimits.valueBytes,
+      maxOperations: settings.stateLimits.maxTransactionOperations,
       commit: this.commit,
       onWriteEnded: (result) => this.mailbox.send({ kind: 'nodeGroupWriteEnded', result }),
     });
--- a/src/leader/fleet-reconciler.ts
+++ b/src/leader/fleet-reconciler.ts
@@ -108,7 +108,7 @@
       // The list lags, so it may still contain instances that were deleted a moment ago.
       if (!this.wasRecentlyDeleted(instance.name)) this.mergeInstance(instance, requestedMs, nowMs);
     }
-    const maxListLagMs = settings.cloud.listLagS * 2000 + INSTANCE_LIST_MARGIN_MS;
+    const maxListLagMs = settings.cloudLimits.maxListLagS * 2000 + INSTANCE_LIST_MARGIN_MS;
     // A missing list entry does not prove that the tasks of the node have ended. Deleting the node proves it and
     // costs nothing.
     for (const node of clusterState.nodes.values()) {
@@ -188,7 +188,7 @@
     if (job.isService) return true;
     const { checkpointIntervalS, checkpointS } = job.spec;
     if (checkpointIntervalS > 0)
-      return remainingS < checkpointS + this.dependencies.settings.reportS + CHECKPOINT_MARGIN_S;
+      return remainingS < checkpointS + this.dependencies.settings.heartbeatIntervalS + CHECKPOINT_MARGIN_S;
     // The work of this task would be lost anyway, so it restarts elsewhere as early as possible.
     return checkpointIntervalS === 0 && estimateRemainingRunS(attempt, nowMs) > remainingS;
   }
--- a/src/leader/leader-components.ts
+++ b/src/leader/leader-components.ts
@@ -92,7 +92,7 @@
     return new CloudClient({
       caller: httpClient,
       address: settings.cloudAddress,
-      rates: computeLeaderCloudRates(settings.cloud.rps, leasedRoles !== undefined),
+      rates: computeLeaderCloudRates(settings.cloudLimits.rps, leasedRoles !== undefined),
       clock,
       onEvent: (event) => this.mailbox.send({ kind: 'cloudEvent', event }),
       mayCall: () => term.authority.isValid(clock.steadyMs()),
@@ -108,7 +108,7 @@
     return new DelegatedProvisioner({
       roles: leasedRoles,
       term,
-      maxValueBytes: settings.state.valueBytes,
+      maxValueBytes: settings.stateLimits.valueBytes,
       onEvent: sendEvent,
       onFailure: resign,
     });
@@ -190,7 +190,7 @@
     const { term, cancellationWatermark, replica, settings, log } = this.dependencies;
     const heartbeatReconciler = new HeartbeatReconciler({
       clusterState,
-      leaseS: settings.leaseS,
+      leaseS: settings.leaseDurationS,
       findJob: (uid) => jobStore.jobs.get(uid),
     });
     return new HeartbeatHandler({
--- a/src/leader/leader-dependencies.ts
+++ b/src/leader/leader-dependencies.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { CancellationWatermark } from '../election/cancellation-watermark.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import type { HttpCaller } from '../http/message.js';
+import type { HttpClient } from '../http/message.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import type { Settings } from '../settings.js';
 import type { StateReplica } from '../state/state-replica.js';
@@ -22,8 +22,8 @@
   readonly replica: StateReplica;
   readonly transactionBatcher: TransactionBatcher;
   /** Client for calls to the cloud. */
-  readonly httpClient: HttpCaller;
-  readonly workerHttpClient: HttpCaller;
+  readonly httpClient: HttpClient;
+  readonly workerHttpClient: HttpClient;
   readonly clock: Clock;
   readonly log: Logger;
   /**
--- a/src/main.ts
+++ b/src/main.ts
@@ -6,10 +6,10 @@
 import { systemClock } from '@pumicehinge/runtime';
 import { MAX_POOL_CONNECTIONS } from './constants.js';
 import { Controller } from './controller.js';
-import { SocketCaller } from './http/client.js';
-import { serveHttp } from './http/server.js';
+import { SocketHttpClient } from './http/client.js';
+import { startHttpServer } from './http/server.js';
 import { TcpPeerTransport } from './peers/peer-transport.js';
-import { settingsWarnings } from './settings-warnings.js';
+import { findSettingsWarnings } from './settings-warnings.js';
 import { divideMemory } from './sizing.js';
 import { loadSettings, SettingsError, type Settings } from './settings.js';
 import packageJson from '../package.json' with { type: 'json' };
@@ -42,11 +42,11 @@
     clock,
     // The steady clock starts at 0 together with the process.
     processStartMs: 0,
-    memoryUsedBytes,
+    measureUsedBytes: memoryUsedBytes,
     random: () => uniformFloat64(randomGenerator),
-    httpClient: new SocketCaller(clock, MAX_POOL_CONNECTIONS, Infinity, memoryLimits.maxResponseBytes),
-    workerHttpClient: new SocketCaller(clock, 1, settings.sockets.forCommands),
-    peers,
+    httpClient: new SocketHttpClient(clock, MAX_POOL_CONNECTIONS, Infinity, memoryLimits.maxResponseBytes),
+    workerHttpClient: new SocketHttpClient(clock, 1, settings.socketLimits.maxCommandConnections),
+    peerTransport: peers,
     log,
   });
   // A controller does not exit after an unexpected error. After an uncaught exception it resigns, and the next leader
@@ -58,9 +58,9 @@
   process.on('unhandledRejection', (error) => log.error({ err: error }, 'unhandled promise rejection'));
   try {
     await peers.listen(settings.peerAddress);
-    await serveHttp(
+    await startHttpServer(
       settings.publicAddress,
-      settings.sockets.forClients,
+      settings.socketLimits.maxClientConnections,
       (request, respond) => controller.handleRequest(request, respond),
       clock,
       log,
@@ -70,7 +70,7 @@
     process.exit(EXIT_CANNOT_LISTEN);
   }
   controller.start();
-  for (const warning of settingsWarnings(settings)) log.warn(warning);
+  for (const warning of findSettingsWarnings(settings)) log.warn(warning);
   log.info(
     {
       version: packageJson.version,
--- a/src/peers/peer-codec.ts
+++ b/src/peers/peer-codec.ts
@@ -5,7 +5,7 @@
  */
 import { assertNever } from '@pumicehinge/runtime';
 import type { KeyValue } from '../state/store-client.js';
-import { isObject, isWireInt } from '../wire/json.js';
+import { isJsonObject, isWireInt } from '../wire/json.js';
 import type {
   CancellationsMessage,
   CancellationTransfer,
@@ -81,7 +81,7 @@
  * may send them. Unknown fields are ignored too, and nothing is concluded from a missing field.
  */
 export function decodePeerMessage(frame: unknown): PeerMessage | undefined {
-  if (!isObject(frame)) return undefined;
+  if (!isJsonObject(frame)) return undefined;
   switch (frame.kind) {
     case 'beat':
       return { kind: 'heartbeat' };
@@ -102,7 +102,7 @@
 }
 
 function decodeRunningCounts({ running }: Frame): RunningCountsMessage | undefined {
-  if (!isObject(running)) return undefined;
+  if (!isJsonObject(running)) return undefined;
   const counts = Object.entries(running).filter((entry): entry is [string, number] =>
     isNonNegativeInteger(entry[1]),
   );
@@ -137,7 +137,7 @@
 }
 
 function decodeTransfer(value: unknown): CancellationTransfer | undefined {
-  if (!isObject(value)) return undefined;
+  if (!isJsonObject(value)) return undefined;
   const endOffset = decodeOffset(value.at);
   return endOffset && isNonNegativeInteger(value.parts)
     ? { messageCount: value.parts, endOffset }
@@ -145,7 +145,7 @@
 }
 
 function decodeOffset(value: unknown): LogOffset | undefined {
-  if (!isObject(value) || !isNonNegativeInteger(value.log) || !isNonNegativeInteger(value.seq))
+  if (!isJsonObject(value) || !isNonNegativeInteger(value.log) || !isNonNegativeInteger(value.seq))
     return undefined;
   return { logId: value.log, sequence: value.seq };
 }
@@ -158,7 +158,7 @@
 }
 
 function decodeKeyValue(value: unknown): KeyValue | undefined {
-  if (!isObject(value) || typeof value.key !== 'string' || !isWireInt(value.stamp)) return undefined;
+  if (!isJsonObject(value) || typeof value.key !== 'string' || !isWireInt(value.stamp)) return undefined;
   return { key: value.key, value: value.value, modRevision: value.stamp };
 }
 
--- a/src/peers/peer-transport.ts
+++ b/src/peers/peer-transport.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '@pumicehinge/runtime';
 import { PEER_IDLE_TIMEOUT_MS } from '../constants.js';
 import { splitAddress } from '../http/server.js';
-import { isObject } from '../wire/json.js';
+import { isJsonObject } from '../wire/json.js';
 import { decodePeerMessage, encodePeerMessage } from './peer-codec.js';
 import { PeerConnection } from './peer-connection.js';
 import { UnknownPeerError } from './peer-errors.js';
@@ -120,7 +120,7 @@
 
   /** Reads the first frame of a connection, which contains the name of the peer. */
   private readPeerName(frame: unknown): string {
-    const name = isObject(frame) ? frame.member : undefined;
+    const name = isJsonObject(frame) ? frame.member : undefined;
     const peer = this.options.peers.find(({ member }) => member === name);
     if (!peer) throw new UnknownPeerError(name);
     return peer.member;
--- a/src/settings-warnings.ts
+++ b/src/settings-warnings.ts
@@ -28,41 +28,50 @@
  * Warns about settings with which the service starts but cannot keep its guarantees. Each warning is one line with the name
  * of the setting, its value and the required minimum. This function is pure.
  */
-export function settingsWarnings(settings: Settings): string[] {
-  const { controllers, state, cloud, sockets, leaseS, reportS, cancelS, memoryBytes } = settings;
-  const followerRequestShare = (STATE_RATE_SHARE * (1 - LEADER_REQUEST_RATE_SHARE)) / controllers;
+export function findSettingsWarnings(settings: Settings): string[] {
+  const {
+    controllerCount,
+    stateLimits,
+    cloudLimits,
+    socketLimits,
+    leaseDurationS,
+    heartbeatIntervalS,
+    maxCancellationS,
+    memoryBytes,
+  } = settings;
+  const followerRequestShare = (STATE_RATE_SHARE * (1 - LEADER_REQUEST_RATE_SHARE)) / controllerCount;
   const leaderWriteShare =
-    STATE_RATE_SHARE * ((1 - LEADER_WRITE_RATE_SHARE) / controllers + LEADER_WRITE_RATE_SHARE);
+    STATE_RATE_SHARE * ((1 - LEADER_WRITE_RATE_SHARE) / controllerCount + LEADER_WRITE_RATE_SHARE);
   const maxWatchDelayS = (WATCH_WAIT_MS + WATCH_GRACE_MS + CANCELLATION_MARGIN_MS) / 1000;
   return [
     ...checkMinimum(
       'state.rps',
-      state.requestsPerSecond,
+      stateLimits.requestsPerSecond,
       roundUp(MIN_FOLLOWER_RPS / followerRequestShare),
       'each controller watches the state store and reads from it for users',
     ),
     ...checkMinimum(
       'state.write_rps',
-      state.writesPerSecond,
+      stateLimits.writesPerSecond,
       roundUp(MIN_LEADER_WRITES_PER_S / leaderWriteShare),
       'the leader writes the records of jobs and machines',
     ),
     ...checkMinimum(
       'state.value_kb',
-      state.valueBytes / 1024,
+      stateLimits.valueBytes / 1024,
       MIN_VALUE_BYTES / 1024,
       'the records of machines and jobs must fit into a value',
     ),
     ...checkMinimum(
       'state.txn_ops',
-      state.maxTransactionOperations,
+      stateLimits.maxTransactionOperations,
       MIN_TRANSACTION_OPERATIONS,
       'a job with many finished tasks needs several writes in one transaction',
     ),
-    ...checkMinimum('cloud.rps', cloud.rps, MIN_CLOUD_RPS, 'machines are rented, returned and listed'),
+    ...checkMinimum('cloud.rps', cloudLimits.rps, MIN_CLOUD_RPS, 'machines are rented, returned and listed'),
     ...checkMinimum(
       'quota.max_connections (for clients)',
-      sockets.forClients,
+      socketLimits.maxClientConnections,
       MIN_CLIENT_SOCKETS,
       'workers, users and health checks need connections',
     ),
@@ -74,14 +83,14 @@
     ),
     ...checkMinimum(
       'workers.lease_s',
-      leaseS,
-      MIN_HEARTBEATS_PER_LEASE * reportS,
+      leaseDurationS,
+      MIN_HEARTBEATS_PER_LEASE * heartbeatIntervalS,
       'a lease must outlast lost heartbeats',
     ),
     ...checkMinimum(
       'workers.cancel_s',
-      cancelS,
-      roundUp(leaseS + maxWatchDelayS + reportS),
+      maxCancellationS,
+      roundUp(leaseDurationS + maxWatchDelayS + heartbeatIntervalS),
       'in an outage, cancelled tasks run until their lease expires',
     ),
   ];
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -7,7 +7,7 @@
 import type { TeamQuota } from './scheduler/team-quota.js';
 import type { StartObjective } from './autoscaler/headroom.js';
 import { DEFAULT_MEMORY_MIB } from './constants.js';
-import { shareSockets, type SocketShares } from './sizing.js';
+import { divideSockets, type SocketLimits } from './sizing.js';
 import { validateOperator, validatePlatform } from './schema-validators.js';
 
 /** The settings of a controller. Addresses are written as "ip:port". */
@@ -24,35 +24,35 @@
   peers: Peer[];
   cloudAddress: string;
   /** Address of the state store. */
-  stateAddress: string;
+  stateStoreAddress: string;
   /** Number of controllers in the deployment. */
-  controllers: number;
+  controllerCount: number;
   /** Zones of the deployment. */
   zones: string[];
   teams: TeamQuota[];
   /** Service-level objectives for the share of jobs that meet their deadlines, by job class. */
-  objectives: DeadlineObjective[];
+  deadlineObjectives: DeadlineObjective[];
   /** Service-level objectives for the time until tasks start, by job class. */
   startObjectives: StartObjective[];
   /** Seconds between two heartbeats of a worker. */
-  reportS: number;
+  heartbeatIntervalS: number;
   /** Seconds for which the lease of a worker lasts after it was renewed. */
-  leaseS: number;
+  leaseDurationS: number;
   /** Seconds within which the tasks of a cancelled job must have ended. */
-  cancelS: number;
+  maxCancellationS: number;
   /**
    * Limits of the state store. Each one is the lower of the current limit and the announced limit, because what is written
    * must fit both.
    */
-  state: {
+  stateLimits: {
     requestsPerSecond: number;
     writesPerSecond: number;
     valueBytes: number;
     maxTransactionOperations: number;
   };
   /** Limit of the requests per second to the cloud, and the seconds by which its list of machines may be out of date. */
-  cloud: { rps: number; listLagS: number };
-  sockets: SocketShares;
+  cloudLimits: { rps: number; maxListLagS: number };
+  socketLimits: SocketLimits;
   /** Bytes of memory that this process may use. */
   memoryBytes: number;
   operator: OperatorSettings;
@@ -148,8 +148,8 @@
       .filter((seed) => seed.member !== platform.member)
       .map((seed) => ({ member: seed.member, zone: seed.domain, address: seed.address })),
     cloudAddress: platform.endpoints.cloud,
-    stateAddress: platform.endpoints.state,
-    controllers: deployment.count,
+    stateStoreAddress: platform.endpoints.state,
+    controllerCount: deployment.count,
     zones: deployment.zones,
     teams: (deployment.teams ?? []).map((team) => ({
       name: team.name,
@@ -158,7 +158,7 @@
       guaranteedAccelerators: team.gpus,
       acceleratorLimit: team.gpus_max,
     })),
-    objectives: (deployment.objectives ?? [])
+    deadlineObjectives: (deployment.objectives ?? [])
       .filter((objective) => objective.kind === 'deadline' && objective.class !== undefined)
       .map((objective) => ({
         jobClass: objective.class!,
@@ -171,17 +171,17 @@
           objective.kind === 'wait' && objective.class !== undefined && objective.within_s !== undefined,
       )
       .map((objective) => ({ jobClass: objective.class!, withinS: objective.within_s! })),
-    reportS: deployment.workers.report_s,
-    leaseS: deployment.workers.lease_s,
-    cancelS: deployment.workers.cancel_s,
-    state: {
+    heartbeatIntervalS: deployment.workers.report_s,
+    leaseDurationS: deployment.workers.lease_s,
+    maxCancellationS: deployment.workers.cancel_s,
+    stateLimits: {
       requestsPerSecond: tightestLimit('rps'),
       writesPerSecond: tightestLimit('write_rps'),
       valueBytes: Math.floor(tightestLimit('value_kb') * 1024),
       maxTransactionOperations: tightestLimit('txn_ops'),
     },
-    cloud: { rps: deployment.cloud.rps, listLagS: deployment.cloud.list_lag_s },
-    sockets: shareSockets(deployment.quota.max_connections),
+    cloudLimits: { rps: deployment.cloud.rps, maxListLagS: deployment.cloud.list_lag_s },
+    socketLimits: divideSockets(deployment.quota.max_connections),
     memoryBytes: (deployment.quota.mem_mb ?? DEFAULT_MEMORY_MIB) * 1024 * 1024,
     operator,
   };
--- a/src/simulation/day.ts
+++ b/src/simulation/day.ts
@@ -4,7 +4,7 @@
 import { Controller } from '../controller.js';
 import type { HttpResponse } from '../http/message.js';
 import type { Settings } from '../settings.js';
-import { shareSockets } from '../sizing.js';
+import { divideSockets } from '../sizing.js';
 import { ProcessClock, SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 import { SimCloud } from './cloud.js';
 import { SimNetwork, SimPeerNetwork } from './network.js';
@@ -73,8 +73,8 @@
         address: `${other}:81`,
       })),
     cloudAddress: 'cloud:1',
-    stateAddress: 'state:1',
-    controllers: options.controllers,
+    stateStoreAddress: 'state:1',
+    controllerCount: options.controllers,
     zones: ZONES,
     teams: [
       {
@@ -92,18 +92,18 @@
         acceleratorLimit: 0,
       },
     ],
-    objectives: [{ jobClass: 'batch', share: 0.9, deadlineFactor: 1 }],
+    deadlineObjectives: [{ jobClass: 'batch', share: 0.9, deadlineFactor: 1 }],
     startObjectives: [],
-    reportS: options.reportS ?? REPORT_S,
-    leaseS: LEASE_S,
-    cancelS: CANCEL_S,
-    state: {
+    heartbeatIntervalS: options.reportS ?? REPORT_S,
+    leaseDurationS: LEASE_S,
+    maxCancellationS: CANCEL_S,
+    stateLimits: {
       requestsPerSecond: rates.rps,
       writesPerSecond: rates.writesPerS,
       ...(options.next ?? { valueBytes: 8192, maxTransactionOperations: 12 }),
     },
-    cloud: { rps: rates.cloudRps, listLagS: 0 },
-    sockets: shareSockets(900),
+    cloudLimits: { rps: rates.cloudRps, maxListLagS: 0 },
+    socketLimits: divideSockets(900),
     memoryBytes: 108 * 1024 * 1024,
     operator: {
       idleKeepS: 45,
@@ -207,10 +207,10 @@
       clock,
       random: this.random,
       processStartMs: this.clock.steadyMs(),
-      memoryUsedBytes: () => 0,
+      measureUsedBytes: () => 0,
       httpClient,
       workerHttpClient: httpClient,
-      peers: this.peers.createTransport(member, isAlive),
+      peerTransport: this.peers.createTransport(member, isAlive),
       log: pino({ level: 'silent' }),
     });
     this.network.attach(member, `${member}:80`, (_from, method, target, body) => {
--- a/src/simulation/loopback-network.ts
+++ b/src/simulation/loopback-network.ts
@@ -1,9 +1,9 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
-import { SocketCaller } from '../http/client.js';
-import type { HttpCaller } from '../http/message.js';
-import { serveHttp } from '../http/server.js';
+import { SocketHttpClient } from '../http/client.js';
+import type { HttpClient } from '../http/message.js';
+import { startHttpServer } from '../http/server.js';
 import type { SimHandler } from './network.js';
 
 /** The clock of the simulated services. Its pending timers do not keep a process from exiting. */
@@ -27,7 +27,7 @@
 /** Offers over real sockets the part of the simulated network's interface that the simulated services use. */
 export class LoopbackNetwork {
   private readonly servers: Server[] = [];
-  private readonly callers: SocketCaller[] = [];
+  private readonly callers: SocketHttpClient[] = [];
   private readonly sockets = new Set<Socket>();
   private isClosed = false;
 
@@ -38,7 +38,7 @@
    * unknown.
    */
   async attach(_host: string, address: string, handler: SimHandler, caller = ''): Promise<void> {
-    const server = await serveHttp(
+    const server = await startHttpServer(
       address,
       MAX_SERVICE_CONNECTIONS,
       (request, respond) => {
@@ -60,8 +60,8 @@
   }
 
   /** Creates a client of its own for one host. */
-  createCaller(): HttpCaller {
-    const caller = new SocketCaller(backgroundClock, 1, 4);
+  createCaller(): HttpClient {
+    const caller = new SocketHttpClient(backgroundClock, 1, 4);
     this.callers.push(caller);
     return caller;
   }
--- a/src/simulation/loopback-users.ts
+++ b/src/simulation/loopback-users.ts
@@ -1,4 +1,4 @@
-import { SocketCaller } from '../http/client.js';
+import { SocketHttpClient } from '../http/client.js';
 import { backgroundClock } from './loopback-network.js';
 import type { SimJob, RuleChecker } from './rules.js';
 
@@ -8,7 +8,7 @@
 
 /** Users that submit jobs to controllers on loopback and poll the state of each. */
 export class LoopbackUsers {
-  private readonly httpCaller = new SocketCaller(backgroundClock, 8, 8);
+  private readonly httpCaller = new SocketHttpClient(backgroundClock, 8, 8);
   private jobCount = 0;
 
   constructor(
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -1,4 +1,4 @@
-import { CallError, type HttpCaller, type HttpResponse } from '../http/message.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../http/message.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import type { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
@@ -154,7 +154,7 @@
   }
 
   /** Creates an HTTP client of a host. A client that is no longer alive ignores responses. */
-  createCaller(from: string, isAlive: () => boolean): HttpCaller {
+  createCaller(from: string, isAlive: () => boolean): HttpClient {
     return {
       call: (address, method, target, body, timeoutMs) =>
         new Promise((resolve, reject) => {
@@ -170,7 +170,7 @@
             this.runOnHost(from, () =>
               settleOnce(() => {
                 this.observer.callFailed(request, 'timed out');
-                reject(new CallError('unclear', 'timed out'));
+                reject(new HttpCallError('unclear', 'timed out'));
               }),
             ),
           );
@@ -187,7 +187,7 @@
             if (!handler) {
               settleOnce(() => {
                 this.observer.callFailed(request, 'refused');
-                reject(new CallError('unsent', 'refused'));
+                reject(new HttpCallError('unsent', 'refused'));
               });
               return;
             }
--- a/src/simulation/workers.ts
+++ b/src/simulation/workers.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@pumicehinge/runtime';
-import type { HttpCaller, HttpResponse } from '../http/message.js';
+import type { HttpClient, HttpResponse } from '../http/message.js';
 import type { SimNetwork } from './network.js';
 import type { RuleChecker } from './rules.js';
 
@@ -43,7 +43,7 @@
   private isAlive = true;
   /** While true, the machine neither runs tasks nor handles messages, and its clock runs on. */
   hanging = false;
-  private readonly httpCaller: HttpCaller;
+  private readonly httpCaller: HttpClient;
 
   constructor(
     readonly machine: WorkerMachine,
--- a/src/sizing.ts
+++ b/src/sizing.ts
@@ -13,21 +13,24 @@
 } from './constants.js';
 
 /** How the sockets of a controller are divided. */
-export interface SocketShares {
+export interface SocketLimits {
   /** Limit of the connections from users and workers. */
-  forClients: number;
+  maxClientConnections: number;
   /** Limit of the connections to workers for commands that are sent without waiting for the next heartbeat. */
-  forCommands: number;
+  maxCommandConnections: number;
 }
 
 /**
  * Divides the sockets of a controller. Some are reserved for its calls to other services and for its peers, but if there are
  * few sockets, only a limited share of them.
  */
-export function shareSockets(maxConnections: number): SocketShares {
+export function divideSockets(maxConnections: number): SocketLimits {
   const reservedSockets = Math.min(RESERVED_SOCKETS, Math.ceil(maxConnections * MAX_RESERVED_SOCKETS_SHARE));
-  const forCommands = Math.ceil(maxConnections * WORKER_CALL_SOCKET_SHARE);
-  return { forClients: Math.max(1, maxConnections - reservedSockets - forCommands), forCommands };
+  const maxCommandConnections = Math.ceil(maxConnections * WORKER_CALL_SOCKET_SHARE);
+  return {
+    maxClientConnections: Math.max(1, maxConnections - reservedSockets - maxCommandConnections),
+    maxCommandConnections,
+  };
 }
 
 /** How the memory of a controller is divided. */
--- a/src/state/records/delegated-leases.ts
+++ b/src/state/records/delegated-leases.ts
@@ -2,7 +2,7 @@
  * The stored form of node leases that a controller renews because a network partition separates the nodes from the
  * leader.
  */
-import { isObject } from '../../wire/json.js';
+import { isJsonObject } from '../../wire/json.js';
 
 /** The nodes whose leases a controller renews in place of the leader. */
 export interface DelegatedLeasesRecord {
@@ -19,6 +19,6 @@
 
 /** Decodes delegated leases. Returns undefined if the stored form is malformed. */
 export function decodeDelegatedLeases(value: unknown): DelegatedLeasesRecord | undefined {
-  if (!isObject(value) || !Array.isArray(value.m)) return undefined;
+  if (!isJsonObject(value) || !Array.isArray(value.m)) return undefined;
   return { term: Number(value.t), nodeNames: value.m.map(String) };
 }
--- a/src/state/records/instance-types.ts
+++ b/src/state/records/instance-types.ts
@@ -1,7 +1,7 @@
 /**
  * The stored form of the instance types that the cloud offers. It is a list whose fields have the names of the code.
  */
-import { isObject } from '../../wire/json.js';
+import { isJsonObject } from '../../wire/json.js';
 
 /**
  * An instance type of the cloud's catalog. It is stored unchanged, so its property names are part of the stored form.
@@ -31,7 +31,7 @@
 }
 
 function isInstanceType(value: unknown): value is InstanceType {
-  if (!isObject(value) || typeof value.name !== 'string') return false;
+  if (!isJsonObject(value) || typeof value.name !== 'string') return false;
   const { zones } = value;
   const amounts = [value.cpus, value.accelerators, value.memGb, value.bootS];
   return (
--- a/src/state/records/job-record.ts
+++ b/src/state/records/job-record.ts
@@ -1,5 +1,5 @@
 /** The stored form of a job, which holds its description and its progress. */
-import { isObject } from '../../wire/json.js';
+import { isJsonObject } from '../../wire/json.js';
 import { isPositiveInteger } from './checks.js';
 import { maxFirstSegmentLength } from './completion-segments.js';
 import { measureEncodedBytes } from './encoded-size.js';
@@ -49,7 +49,7 @@
  * Decodes a job. Returns undefined if the stored form is malformed, or if the job is open and has no valid description.
  */
 export function decodeJob(value: unknown): JobRecord | undefined {
-  if (!isObject(value)) return undefined;
+  if (!isJsonObject(value)) return undefined;
   const phase = PHASES.find((candidate) => STORED_PHASES[candidate] === value.p);
   const { n: taskCount, t: acceptedMs, x: memberStates } = value;
   if (!phase || !isPositiveInteger(taskCount) || typeof acceptedMs !== 'number') return undefined;
@@ -71,7 +71,7 @@
 
 /** Whether a stored job is cancelled. The check does not decode the job. */
 export function isCancelledJob(value: unknown): boolean {
-  return isObject(value) && value.p === STORED_PHASES.cancelled;
+  return isJsonObject(value) && value.p === STORED_PHASES.cancelled;
 }
 
 /** Returns the maximum size in bytes of a job's stored value, however many of its tasks are completed. */
--- a/src/state/records/job-spec.ts
+++ b/src/state/records/job-spec.ts
@@ -2,7 +2,7 @@
  * The description of a job and its stored form. The stored field names never change. They were chosen by earlier
  * versions, and this module maps them to the names of the code and back.
  */
-import { isObject } from '../../wire/json.js';
+import { isJsonObject } from '../../wire/json.js';
 import { isPositiveInteger, isStringArray } from './checks.js';
 
 /** The priority class of a job. */
@@ -105,7 +105,7 @@
  * kept.
  */
 export function decodeJobSpec(stored: unknown): JobSpec | undefined {
-  if (!isObject(stored)) return undefined;
+  if (!isJsonObject(stored)) return undefined;
   const cachedSpec = specsByStoredForm.get(stored);
   if (cachedSpec) return cachedSpec;
   if (!isStoredSpec(stored)) return undefined;
@@ -122,10 +122,10 @@
 }
 
 const isDependencyListReference = (value: unknown): boolean =>
-  isObject(value) && typeof value.id === 'string' && isPositiveInteger(value.parts);
+  isJsonObject(value) && typeof value.id === 'string' && isPositiveInteger(value.parts);
 
 function isStoredSpec(value: unknown): value is Record<string, unknown> {
-  if (!isObject(value)) return false;
+  if (!isJsonObject(value)) return false;
   const { types, zone, dueS } = value;
   const texts = [value.uid, value.cohort, value.team, value.image];
   const amounts = [
--- a/src/state/records/leader-record.ts
+++ b/src/state/records/leader-record.ts
@@ -1,5 +1,5 @@
 /** The stored form of the current leader. */
-import { isObject } from '../../wire/json.js';
+import { isJsonObject } from '../../wire/json.js';
 
 /** The current leader. */
 export interface LeaderRecord {
@@ -18,6 +18,6 @@
 
 /** Decodes the leader. Returns undefined if the stored form is malformed. */
 export function decodeLeader(value: unknown): LeaderRecord | undefined {
-  if (!isObject(value) || typeof value.member !== 'string') return undefined;
+  if (!isJsonObject(value) || typeof value.member !== 'string') return undefined;
   return { member: value.member, term: Number(value.term), delegatesCloudCalls: value.delegates === true };
 }
--- a/src/state/records/node-group.ts
+++ b/src/state/records/node-group.ts
@@ -1,7 +1,7 @@
 /**
  * The stored form of nodes. Nodes that were launched together share a value, so that hundreds of nodes take few writes.
  */
-import { isObject } from '../../wire/json.js';
+import { isJsonObject } from '../../wire/json.js';
 
 /** A group of nodes of the same instance offering. */
 export interface NodeGroupRecord {
@@ -25,7 +25,7 @@
 
 /** Decodes a group of nodes. Returns undefined if the stored form is malformed. */
 export function decodeNodeGroup(value: unknown): NodeGroupRecord | undefined {
-  if (!isObject(value) || !isObject(value.m)) return undefined;
+  if (!isJsonObject(value) || !isJsonObject(value.m)) return undefined;
   const nodeAddresses = new Map<string, string | undefined>();
   for (const [name, address] of Object.entries(value.m))
     nodeAddresses.set(name, typeof address === 'string' ? address : undefined);
@@ -36,5 +36,5 @@
  * Whether a stored group contains a node. The group is not decoded, as each heartbeat makes this check in a partition.
  */
 export function nodeGroupContains(value: unknown, nodeName: string): boolean {
-  return isObject(value) && isObject(value.m) && Object.hasOwn(value.m, nodeName);
+  return isJsonObject(value) && isJsonObject(value.m) && Object.hasOwn(value.m, nodeName);
 }
--- a/src/state/state-replica.ts
+++ b/src/state/state-replica.ts
@@ -8,7 +8,7 @@
   MIN_WATCH_INTERVAL_MS,
   WATCH_WAIT_MS,
 } from '../constants.js';
-import { AnswerTooLargeError } from '../http/message.js';
+import { ResponseTooLargeError } from '../http/message.js';
 import type { WireInt } from '../wire/json.js';
 import { KeyValueIndex } from './key-value-index.js';
 import type { KeyChange, KeyChanges, KeyValue } from './key-value.js';
@@ -103,7 +103,7 @@
 
   /**
    * Resolves once the replica holds everything that the state store held at the call. One read of the store serves all
-   * callers that wait for it. Rejects with a StoreError or a CallError if the store can't be read.
+   * callers that wait for it. Rejects with a StoreError or an HttpCallError if the store can't be read.
    */
   linearizableRead(): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -147,7 +147,7 @@
     // The store keeps a bounded history of changes. Once this revision is compacted, all keys are loaded again. They
     // are also loaded again if there are more changes than fit into memory at once, as the pages of a listing are
     // small.
-    if (error instanceof CompactedRevisionError || error instanceof AnswerTooLargeError)
+    if (error instanceof CompactedRevisionError || error instanceof ResponseTooLargeError)
       this.areKeysLoaded = false;
     this.log.debug({ err: error }, 'state store read failed');
   }
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -10,7 +10,7 @@
   WATCH_GRACE_MS,
   WATCH_WAIT_MS,
 } from '../constants.js';
-import { CallError, type HttpCaller, type HttpResponse } from '../http/message.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../http/message.js';
 import type { WireInt } from '../wire/json.js';
 import type { Condition, KeyChanges, KeyPage, Operation, TransactionResult } from './key-value.js';
 import {
@@ -44,7 +44,7 @@
 
 /** Dependencies and settings of `StoreClient`. */
 export interface StoreClientOptions {
-  readonly caller: HttpCaller;
+  readonly caller: HttpClient;
   /** Host and port of the state store. */
   readonly address: string;
   readonly clock: Clock;
@@ -119,7 +119,7 @@
 
   /**
    * Lists at most `limit` keys with a prefix, sorted by key, starting after `afterKey`. Rejects with a StoreError if
-   * the store does not serve the call, and with a CallError if the store can't be reached.
+   * the store does not serve the call, and with an HttpCallError if the store can't be reached.
    */
   async listPage(prefix: string, afterKey: string | undefined, limit: number): Promise<KeyPage> {
     return decodePage(
@@ -153,7 +153,8 @@
         writeCount: operations.length,
       });
     } catch (error) {
-      if (error instanceof CallError && error.failure === 'unsent') return { outcome: 'refused', status: 0 };
+      if (error instanceof HttpCallError && error.failure === 'unsent')
+        return { outcome: 'refused', status: 0 };
       return { outcome: 'unclear' };
     }
     return decodeTransactionResult(response);
@@ -167,7 +168,7 @@
 
   /**
    * Renews a lease. Resolves to true if the lease is alive, and to false if it has expired. Rejects with a StoreError
-   * or a CallError if that is unknown.
+   * or an HttpCallError if that is unknown.
    */
   async keepAlive(leaseId: WireInt, timeoutMs: number): Promise<boolean> {
     const { status } = await this.request({
@@ -182,7 +183,7 @@
     throw storeErrorForStatus(status);
   }
 
-  /** Revokes a lease. The answer of the store is ignored. Rejects with a CallError if the store can't be reached. */
+  /** Revokes a lease. The answer of the store is ignored. Rejects with an HttpCallError if the store can't be reached. */
   async revokeLease(leaseId: WireInt): Promise<void> {
     await this.request({
       method: 'DELETE',
--- a/src/state/store-codec.ts
+++ b/src/state/store-codec.ts
@@ -4,7 +4,7 @@
  * lease.
  */
 import type { HttpResponse } from '../http/message.js';
-import { formatJson, isObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
+import { formatJson, isJsonObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
 import type {
   Condition,
   KeyChange,
@@ -62,7 +62,7 @@
   const body = parseBody(responseBody);
   const rows = Array.isArray(body.rows) ? body.rows : [];
   return {
-    keyValues: rows.filter(isObject).map(decodeKeyValue),
+    keyValues: rows.filter(isJsonObject).map(decodeKeyValue),
     hasMore: body.more === true,
     revision: requireWireInt(body, 'epoch'),
   };
@@ -76,7 +76,7 @@
 export function decodeChanges(responseBody: string): KeyChanges {
   const body = parseBody(responseBody);
   const log = Array.isArray(body.log) ? body.log : [];
-  return { revision: requireWireInt(body, 'epoch'), changes: log.filter(isObject).map(decodeChange) };
+  return { revision: requireWireInt(body, 'epoch'), changes: log.filter(isJsonObject).map(decodeChange) };
 }
 
 function decodeChange(entry: Record<string, unknown>): KeyChange {
@@ -116,7 +116,7 @@
 function parseBody(text: string): Record<string, unknown> {
   try {
     const body = parseJson(text);
-    return isObject(body) ? body : {};
+    return isJsonObject(body) ? body : {};
   } catch {
     return {};
   }
--- a/src/state/term-record.ts
+++ b/src/state/term-record.ts
@@ -1,5 +1,5 @@
 /** The stored form of the number of the latest leadership term, under `TERM_KEY`. */
-import { isObject } from '../wire/json.js';
+import { isJsonObject } from '../wire/json.js';
 
 /** Encodes the number of a term. */
 export function encodeTerm(term: number): unknown {
@@ -11,5 +11,5 @@
  * the value holds no number.
  */
 export function decodeTerm(value: unknown): number {
-  return isObject(value) ? Number(value.term) : 0;
+  return isJsonObject(value) ? Number(value.term) : 0;
 }
--- a/src/wire/json.ts
+++ b/src/wire/json.ts
@@ -32,7 +32,7 @@
 }
 
 /** Whether the value is a JSON object. Arrays and null are not. */
-export function isObject(value: unknown): value is Record<string, unknown> {
+export function isJsonObject(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -10,7 +10,7 @@
   TaskStatus,
   WorkerCommand,
 } from '../cluster/worker-messages.js';
-import { isObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
+import { isJsonObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
 
 const TASK_STATES: ReadonlyMap<string, TaskState> = new Map([
   ['fetching', 'fetching'],
@@ -29,7 +29,7 @@
 ]);
 
 function decodeTaskStatus(value: unknown): TaskStatus | undefined {
-  if (!isObject(value) || typeof value.piece !== 'string' || !isWireInt(value.try)) return undefined;
+  if (!isJsonObject(value) || typeof value.piece !== 'string' || !isWireInt(value.try)) return undefined;
   const slashIndex = value.piece.lastIndexOf('/');
   const taskIndex = Number(value.piece.slice(slashIndex + 1));
   if (slashIndex <= 0 || !Number.isSafeInteger(taskIndex) || taskIndex < 0) return undefined;
@@ -57,7 +57,7 @@
 
 /** Decodes the parsed body of a heartbeat. Undefined if a field is missing or has a wrong type. */
 export function decodeHeartbeat(value: unknown): Heartbeat | undefined {
-  if (!isObject(value) || !Array.isArray(value.pieces)) return undefined;
+  if (!isJsonObject(value) || !Array.isArray(value.pieces)) return undefined;
   const { hearth, address, build, yard, tenure, tick: sequence, baton } = value;
   if (typeof hearth !== 'string' || typeof address !== 'string') return undefined;
   if (typeof build !== 'string' || typeof yard !== 'string') return undefined;
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -20,7 +20,7 @@
   STOP_RESEND_INTERVAL_MS,
 } from '../constants.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import { CallError, type CallFailure, type HttpCaller } from '../http/message.js';
+import { HttpCallError, type HttpCallFailure, type HttpClient } from '../http/message.js';
 import { formatJson, type WireInt } from '../wire/json.js';
 import { encodeCommands, parseHeartbeat } from './codec.js';
 
@@ -36,7 +36,7 @@
 /** How a direct call ended. Without a response, `failure` tells whether the commands may still be executed. */
 export type CommandCallOutcome =
   | { readonly kind: 'response'; readonly status: number; readonly body: string }
-  | { readonly kind: 'noResponse'; readonly failure: CallFailure };
+  | { readonly kind: 'noResponse'; readonly failure: HttpCallFailure };
 
 /** The result of a direct call with commands to a worker. */
 export interface CommandCallResult {
@@ -51,7 +51,7 @@
   readonly term: LeadershipTerm;
   readonly clusterState: ClusterState;
   /** Sends the direct calls to workers. */
-  readonly caller: HttpCaller;
+  readonly caller: HttpClient;
   readonly log: Logger;
   /** Whether a planned attempt may be started now. This is checked right before each start command. */
   readonly mayStart: (attempt: Attempt) => boolean;
@@ -188,7 +188,7 @@
         deliverCallResult({ node, attemptsToStart, outcome });
       },
       (error: unknown) => {
-        const failure = error instanceof CallError ? error.failure : 'unclear';
+        const failure = error instanceof HttpCallError ? error.failure : 'unclear';
         deliverCallResult({ node, attemptsToStart, outcome: { kind: 'noResponse', failure } });
       },
     );
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -8,7 +8,7 @@
 import { FIRST_CONTACT_WINDOW_MS } from '../constants.js';
 import type { CancellationWatermark } from '../election/cancellation-watermark.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import type { StateReplica } from '../state/state-replica.js';
 import { formatJson } from '../wire/json.js';
 import { encodeCommands } from './codec.js';
@@ -18,7 +18,7 @@
 /** A heartbeat that reached the leader. */
 export interface ReceivedHeartbeat {
   readonly heartbeat: Heartbeat;
-  readonly respond: Respond;
+  readonly respond: ResponseCallback;
   /** Name of the controller that the worker sent the heartbeat to. */
   readonly relayedBy: string;
   /**
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -7,7 +7,7 @@
   RELAY_REVIEW_INTERVAL_MS,
   RELAY_TIMEOUT_MS,
 } from '../constants.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import { formatJson } from '../wire/json.js';
 import { encodeRedirect } from './codec.js';
@@ -28,13 +28,13 @@
   /**
    * Handles on this controller a heartbeat that the leader does not answer. Returns false if that is not possible now.
    */
-  readonly handleLocally: (body: string, respond: Respond) => boolean;
+  readonly handleLocally: (body: string, respond: ResponseCallback) => boolean;
 }
 
 /** A heartbeat that waits for the leader's response. */
 interface PendingHeartbeat {
   readonly body: string;
-  readonly respond: Respond;
+  readonly respond: ResponseCallback;
   /** Steady time in milliseconds at which the heartbeat was received. */
   readonly receivedMs: number;
   /** Name of the controller that the heartbeat was last forwarded to. Undefined if it was not forwarded yet. */
@@ -50,7 +50,7 @@
 }
 
 type Message =
-  | { readonly kind: 'heartbeat'; readonly body: string; readonly respond: Respond }
+  | { readonly kind: 'heartbeat'; readonly body: string; readonly respond: ResponseCallback }
   | ({ readonly kind: 'relayed' } & RelayedResponse)
   | { readonly kind: 'reviewPending' };
 
@@ -95,7 +95,7 @@
     }
   }
 
-  private onHeartbeat(body: string, respond: Respond): void {
+  private onHeartbeat(body: string, respond: ResponseCallback): void {
     // Each pending heartbeat holds a socket, and users need sockets too. A rejected worker tries another controller.
     if (this.pendingHeartbeats.size >= this.dependencies.maxPending) return respond(UNAVAILABLE);
     const receivedMs = this.dependencies.clock.steadyMs();
--- a/src/workers/heartbeat-router.ts
+++ b/src/workers/heartbeat-router.ts
@@ -6,7 +6,7 @@
 import type { Heartbeat } from '../cluster/worker-messages.js';
 import { RELAY_RESPONSE_VALIDITY_MS } from '../constants.js';
 import type { LeaderView } from '../election/leader-view.js';
-import type { Respond } from '../http/message.js';
+import type { ResponseCallback } from '../http/message.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import { parseHeartbeat } from './codec.js';
@@ -62,7 +62,7 @@
    * Routes a worker's heartbeat. `body` is its encoded form. A heartbeat that is accepted is answered through
    * `respond`.
    */
-  route(heartbeat: Heartbeat, body: string, respond: Respond): HeartbeatRoute {
+  route(heartbeat: Heartbeat, body: string, respond: ResponseCallback): HeartbeatRoute {
     const betterTarget = this.findBetterTarget(heartbeat);
     if (betterTarget !== undefined) return { kind: 'redirected', member: betterTarget };
     const receiver = this.findLocalReceiver();
@@ -81,7 +81,7 @@
   }
 
   /** Handles a heartbeat of the relay in this process if it leads or renews leases. Returns false if it can't. */
-  handleLocally(body: string, respond: Respond): boolean {
+  handleLocally(body: string, respond: ResponseCallback): boolean {
     const receiver = this.findLocalReceiver();
     const heartbeat = receiver && parseHeartbeat(body);
     if (!heartbeat) return false;
@@ -110,7 +110,7 @@
     return getLeaderActor() ?? (leaseRenewalProxy.shouldRenewLeases() ? leaseRenewalProxy : undefined);
   }
 
-  private deliver(receiver: HeartbeatReceiver, heartbeat: Heartbeat, respond: Respond): void {
+  private deliver(receiver: HeartbeatReceiver, heartbeat: Heartbeat, respond: ResponseCallback): void {
     const relayedBy = this.dependencies.self.member;
     receiver.send({ kind: 'heartbeat', heartbeat, respond, relayedBy, maxRelayDelayMs: 0 });
   }
@@ -134,7 +134,7 @@
     member: string,
     { id, body }: Extract<PeerMessage, { kind: 'relay' }>,
   ): void {
-    const respond: Respond = (response) =>
+    const respond: ResponseCallback = (response) =>
       this.dependencies.peers.send(member, {
         kind: 'relayed',
         id,
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -9,7 +9,7 @@
   LEASE_PROXY_READ_VALIDITY_MS,
   MAX_NODE_NAME_BYTES,
 } from '../constants.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import {
   decodeLeader,
   delegatedLeasesKey,
@@ -47,7 +47,7 @@
 /** A heartbeat that waits for its response. */
 interface PendingHeartbeat {
   readonly heartbeat: Heartbeat;
-  readonly respond: Respond;
+  readonly respond: ResponseCallback;
 }
 
 /** A heartbeat whose response may rely on what the state store held at the steady time `readMs`, in milliseconds. */
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -125,8 +125,8 @@
   assert.equal(settings.operator.useSpot, true);
   // An announced limit applies at once if it is lower than the current limit.
   const announced = `${SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
-  const { state } = loadSettingsFrom(announced);
-  assert.deepEqual(state, { ...settings.state, writesPerSecond: 7, valueBytes: 2048 });
+  const { stateLimits } = loadSettingsFrom(announced);
+  assert.deepEqual(stateLimits, { ...settings.stateLimits, writesPerSecond: 7, valueBytes: 2048 });
   for (const invalidLimit of [
     'txn_ops = 0',
     'txn_ops = 2.5',
--- a/test/duties/model-cluster.ts
+++ b/test/duties/model-cluster.ts
@@ -6,7 +6,7 @@
 import { HttpCloudProvider } from '../../src/duties/http-cloud-provider.js';
 import { ControllerRoleStore } from '../../src/duties/controller-role-store.js';
 import { readCurrentLeader } from '../../src/duties/current-leader.js';
-import { CallError, type HttpCaller, type HttpResponse } from '../../src/http/message.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../../src/http/message.js';
 import { SimCloud } from '../../src/simulation/cloud.js';
 import { DutyLog, withoutFences } from '../../src/simulation/duty-log.js';
 import type { SimHandler } from '../../src/simulation/network.js';
@@ -93,7 +93,7 @@
   startProcess(member: string): void {
     const process = new ModelProcess(this.clock);
     const clock = process.visibleClock;
-    const caller: HttpCaller = {
+    const caller: HttpClient = {
       call: (...request) => this.call(member, process, request),
     };
     const client = new StoreClient({
@@ -269,13 +269,13 @@
   private call(
     member: string,
     process: ModelProcess,
-    [address, method, target, body, timeoutMs]: Parameters<HttpCaller['call']>,
+    [address, method, target, body, timeoutMs]: Parameters<HttpClient['call']>,
   ): Promise<HttpResponse> {
     const { requestDelayMs, responseDelayMs, isResponseLost } = this.deliveryPolicy();
     return new Promise((resolve, reject) => {
       const runInProcessAfter = (ms: number, run: () => void): void =>
         void this.clock.setTimer(ms, () => process.run(run));
-      runInProcessAfter(timeoutMs, () => reject(new CallError('unclear', 'no answer')));
+      runInProcessAfter(timeoutMs, () => reject(new HttpCallError('unclear', 'no answer')));
       if (address === 'cloud:1' && this.partitionedFromCloud.has(member)) return;
       this.clock.setTimer(requestDelayMs, () => {
         void this.handlers.get(address)!(member, method, target, body).then((response) => {
--- a/test/former.ts
+++ b/test/former.ts
@@ -1,4 +1,4 @@
-import { isObject } from '../src/wire/json.js';
+import { isJsonObject } from '../src/wire/json.js';
 
 /**
  * How the version in production (deploy/service.toml) writes and reads the data that it shares with this version. It
@@ -38,7 +38,7 @@
 
 /** Decodes a job's value as the version in production does. */
 export function decodeJobAsProduction(value: unknown): Record<string, unknown> | undefined {
-  if (!isObject(value)) return undefined;
+  if (!isJsonObject(value)) return undefined;
   const phase = { o: 'open', d: 'done', c: 'cancelled' }[String(value.p)];
   const { n: taskCount, t: acceptedMs, x: tuple, s: storedSpec } = value;
   if (
@@ -50,7 +50,7 @@
     return undefined;
   if (typeof tuple !== 'string' || !/^[NESF]{1,2}$/.test(tuple)) return undefined;
   const spec =
-    isObject(storedSpec) && storedSpec.tasks === taskCount && typeof storedSpec.team === 'string'
+    isJsonObject(storedSpec) && storedSpec.tasks === taskCount && typeof storedSpec.team === 'string'
       ? storedSpec
       : undefined;
   if (phase === 'open' && !spec) return undefined;
--- a/test/golden/controller-harness.ts
+++ b/test/golden/controller-harness.ts
@@ -3,12 +3,12 @@
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 import { Controller } from '../../src/controller.js';
 import { formatResponse } from '../../src/http/server.js';
-import { CallError, type HttpCaller, type HttpResponse } from '../../src/http/message.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../../src/http/message.js';
 import { encodePeerMessage } from '../../src/peers/peer-codec.js';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import { encodeFrame } from '../../src/peers/peer-frames.js';
 import type { Settings } from '../../src/settings.js';
-import { shareSockets } from '../../src/sizing.js';
+import { divideSockets } from '../../src/sizing.js';
 import { SimStateService } from '../../src/simulation/state-service.js';
 import { formatCall, type RecordedCall } from './recording-caller.js';
 
@@ -18,7 +18,7 @@
 const RESPONSE_TIMEOUT_MS = 6_000;
 
 /** The limits of the state store. */
-export const STATE_STORE_LIMITS: Settings['state'] = {
+export const STATE_STORE_LIMITS: Settings['stateLimits'] = {
   requestsPerSecond: 1_000,
   writesPerSecond: 1_000,
   valueBytes: 8_192,
@@ -36,21 +36,21 @@
     { member: 'hearth-3', zone: 'west', address: '10.0.0.4:81' },
   ],
   cloudAddress: 'cloud:1',
-  stateAddress: 'state:1',
-  controllers: 4,
+  stateStoreAddress: 'state:1',
+  controllerCount: 4,
   zones: ['east', 'west'],
   teams: [
     { name: 'red', guaranteedCpus: 8, cpuLimit: 24, guaranteedAccelerators: 0, acceleratorLimit: 0 },
     { name: 'blue', guaranteedCpus: 8, cpuLimit: 24, guaranteedAccelerators: 0, acceleratorLimit: 2 },
   ],
-  objectives: [{ jobClass: 'batch', share: 0.9, deadlineFactor: 1 }],
+  deadlineObjectives: [{ jobClass: 'batch', share: 0.9, deadlineFactor: 1 }],
   startObjectives: [],
-  reportS: 1.5,
-  leaseS: 14,
-  cancelS: 35,
-  state: STATE_STORE_LIMITS,
-  cloud: { rps: 6, listLagS: 0 },
-  sockets: shareSockets(900),
+  heartbeatIntervalS: 1.5,
+  leaseDurationS: 14,
+  maxCancellationS: 35,
+  stateLimits: STATE_STORE_LIMITS,
+  cloudLimits: { rps: 6, maxListLagS: 0 },
+  socketLimits: divideSockets(900),
   memoryBytes: 108 * 1024 * 1024,
   operator: { idleKeepS: 5, useSpot: true, duties: { enabled: false } },
 };
@@ -81,7 +81,7 @@
 
   constructor(respond: ExternalResponder = () => undefined, settings: Partial<Settings> = {}) {
     this.stateStore = new SimStateService(this.clock, () => 0.5);
-    const httpClient: HttpCaller = {
+    const httpClient: HttpClient = {
       call: (address, method, target, body, timeoutMs) =>
         this.handleCall({ address, method, target, body }, timeoutMs, respond),
     };
@@ -90,10 +90,10 @@
       clock: this.clock,
       random: () => this.nextRandom(),
       processStartMs: 0,
-      memoryUsedBytes: () => this.memoryUsedBytes,
+      measureUsedBytes: () => this.memoryUsedBytes,
       httpClient,
       workerHttpClient: httpClient,
-      peers: {
+      peerTransport: {
         send: (member, message) => {
           this.sentFrames.push(`${member} ${encodeFrame(encodePeerMessage(message)).toString('hex')}`);
           return true;
@@ -150,7 +150,7 @@
   startRequest(method: string, path: string, body = ''): { text: string | undefined } {
     const pendingResponse: { text: string | undefined } = { text: undefined };
     this.controller.handleRequest({ method, path, query: '', body }, (response) => {
-      pendingResponse.text = formatResponse(response, response.close !== true);
+      pendingResponse.text = formatResponse(response, response.closesConnection !== true);
     });
     return pendingResponse;
   }
@@ -161,12 +161,12 @@
     respond: ExternalResponder,
   ): Promise<HttpResponse> {
     const { address, method, target, body } = call;
-    const isStateStoreCall = address === DEFAULT_SETTINGS.stateAddress;
+    const isStateStoreCall = address === DEFAULT_SETTINGS.stateStoreAddress;
     // Reads of the state store are not recorded, as the forms must not depend on how often they happen.
     if (!isStateStoreCall || method !== 'GET') this.calls.push(formatCall(call));
     return new Promise((resolve, reject) => {
       const cancelTimeout = this.clock.setTimer(timeoutMs, () =>
-        reject(new CallError('unclear', 'timed out')),
+        reject(new HttpCallError('unclear', 'timed out')),
       );
       const deliverResponse = (response: HttpResponse | undefined): void => {
         if (!response) return;
--- a/test/golden/recording-caller.ts
+++ b/test/golden/recording-caller.ts
@@ -1,4 +1,4 @@
-import { CallError, type HttpCaller, type HttpResponse } from '../../src/http/message.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../../src/http/message.js';
 
 /** An HTTP request, as its receiver sees it. */
 export interface RecordedCall {
@@ -14,7 +14,7 @@
 }
 
 /** Records all requests and responds to them at once. A request without a response fails with a timeout error. */
-export class RecordingCaller implements HttpCaller {
+export class RecordingCaller implements HttpClient {
   readonly calls: string[] = [];
 
   constructor(private readonly respond: (call: RecordedCall) => HttpResponse | undefined) {}
@@ -29,6 +29,6 @@
     const call = { address, method, target, body };
     this.calls.push(formatCall(call));
     const response = this.respond(call);
-    return response ? Promise.resolve(response) : Promise.reject(new CallError('unclear', 'timed out'));
+    return response ? Promise.resolve(response) : Promise.reject(new HttpCallError('unclear', 'timed out'));
   }
 }
--- a/test/golden/settings.test.ts
+++ b/test/golden/settings.test.ts
@@ -7,7 +7,7 @@
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { loadSettings, SettingsError, type OperatorSettings, type Settings } from '../../src/settings.js';
-import { settingsWarnings } from '../../src/settings-warnings.js';
+import { findSettingsWarnings } from '../../src/settings-warnings.js';
 import { GoldenForms } from './golden-forms.js';
 
 const forms = new GoldenForms('settings');
@@ -26,24 +26,29 @@
     { member: 'hearth-2', zone: 'harbour-east', address: '10.0.0.3:8081' },
   ],
   cloudAddress: '10.2.0.2:8443',
-  stateAddress: '10.2.0.1:2379',
-  controllers: 3,
+  stateStoreAddress: '10.2.0.1:2379',
+  controllerCount: 3,
   zones: ['harbour-east', 'mill-west'],
   teams: [
     { name: 'timetable', guaranteedCpus: 24, cpuLimit: 64, guaranteedAccelerators: 2, acceleratorLimit: 8 },
     { name: 'archive', guaranteedCpus: 24.5, cpuLimit: 40, guaranteedAccelerators: 0, acceleratorLimit: 0 },
   ],
-  objectives: [
+  deadlineObjectives: [
     { jobClass: 'letters', share: 0.93, deadlineFactor: 1.5 },
     { jobClass: 'reports', share: 1, deadlineFactor: 1 },
   ],
   startObjectives: [{ jobClass: 'portal', withinS: 45 }],
-  reportS: 1.5,
-  leaseS: 14,
-  cancelS: 39,
-  state: { requestsPerSecond: 200, writesPerSecond: 60, valueBytes: 8_192, maxTransactionOperations: 10 },
-  cloud: { rps: 6, listLagS: 5 },
-  sockets: { forClients: 701, forCommands: 135 },
+  heartbeatIntervalS: 1.5,
+  leaseDurationS: 14,
+  maxCancellationS: 39,
+  stateLimits: {
+    requestsPerSecond: 200,
+    writesPerSecond: 60,
+    valueBytes: 8_192,
+    maxTransactionOperations: 10,
+  },
+  cloudLimits: { rps: 6, maxListLagS: 5 },
+  socketLimits: { maxClientConnections: 701, maxCommandConnections: 135 },
   memoryBytes: 146 * 1024 * 1024,
   operator: { idleKeepS: 12.5, useSpot: false, duties: { enabled: true } },
 };
@@ -101,7 +106,7 @@
     ...EXPECTED_SETTINGS,
     peers: [],
     teams: [],
-    objectives: [],
+    deadlineObjectives: [],
     startObjectives: [],
   });
 });
@@ -165,20 +170,23 @@
 /** Valid settings with which the service can't meet its guarantees, and the setting that each warning names. */
 const WEAK_SETTINGS: [overrides: Partial<Settings>, settingNames: string[]][] = [
   [{}, []],
-  [{ state: { ...EXPECTED_SETTINGS.state, requestsPerSecond: 1 } }, ['state.rps']],
-  [{ state: { ...EXPECTED_SETTINGS.state, writesPerSecond: 1 } }, ['state.write_rps']],
-  [{ state: { ...EXPECTED_SETTINGS.state, valueBytes: 512 } }, ['state.value_kb']],
-  [{ state: { ...EXPECTED_SETTINGS.state, maxTransactionOperations: 3 } }, ['state.txn_ops']],
-  [{ cloud: { ...EXPECTED_SETTINGS.cloud, rps: 0.5 } }, ['cloud.rps']],
-  [{ sockets: { ...EXPECTED_SETTINGS.sockets, forClients: 9 } }, ['quota.max_connections (for clients)']],
+  [{ stateLimits: { ...EXPECTED_SETTINGS.stateLimits, requestsPerSecond: 1 } }, ['state.rps']],
+  [{ stateLimits: { ...EXPECTED_SETTINGS.stateLimits, writesPerSecond: 1 } }, ['state.write_rps']],
+  [{ stateLimits: { ...EXPECTED_SETTINGS.stateLimits, valueBytes: 512 } }, ['state.value_kb']],
+  [{ stateLimits: { ...EXPECTED_SETTINGS.stateLimits, maxTransactionOperations: 3 } }, ['state.txn_ops']],
+  [{ cloudLimits: { ...EXPECTED_SETTINGS.cloudLimits, rps: 0.5 } }, ['cloud.rps']],
+  [
+    { socketLimits: { ...EXPECTED_SETTINGS.socketLimits, maxClientConnections: 9 } },
+    ['quota.max_connections (for clients)'],
+  ],
   [{ memoryBytes: 64 * 1024 * 1024 }, ['quota.mem_mb']],
-  [{ leaseS: 5 }, ['workers.lease_s']],
-  [{ cancelS: 15 }, ['workers.cancel_s']],
+  [{ leaseDurationS: 5 }, ['workers.lease_s']],
+  [{ maxCancellationS: 15 }, ['workers.cancel_s']],
 ];
 
 test('warnings about weak settings use the names of the settings file', () => {
   for (const [overrides, settingNames] of WEAK_SETTINGS) {
-    const warnings = settingsWarnings({ ...EXPECTED_SETTINGS, ...overrides });
+    const warnings = findSettingsWarnings({ ...EXPECTED_SETTINGS, ...overrides });
     assert.deepEqual(
       warnings.map((warning) => warning.split(' is ')[0]),
       settingNames,
--- a/test/golden/user-answers.test.ts
+++ b/test/golden/user-answers.test.ts
@@ -129,7 +129,7 @@
 test('a dependency list that does not fit into the value of its job is written first, under separate keys', async () => {
   const uids = Array.from({ length: 60 }, (_, index) => `job-${200_000 + index}`);
   const jobValues = Object.fromEntries(uids.map((uid) => [jobKey(uid), DONE_JOB_VALUE]));
-  const harness = await startFollower(jobValues, { state: { ...STATE_STORE_LIMITS, valueBytes: 512 } });
+  const harness = await startFollower(jobValues, { stateLimits: { ...STATE_STORE_LIMITS, valueBytes: 512 } });
   const callCountBefore = harness.calls.length;
   forms.check(
     'long list',
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -4,10 +4,10 @@
 import { pino } from 'pino';
 import { systemClock, type Clock } from '@pumicehinge/runtime';
 import { ABANDONED_CONNECTION_TIMEOUT_MS, MAX_BODY_BYTES } from '../src/constants.js';
-import { SocketCaller } from '../src/http/client.js';
-import { CallError } from '../src/http/message.js';
+import { SocketHttpClient } from '../src/http/client.js';
+import { HttpCallError } from '../src/http/message.js';
 import { HttpParser, HttpSyntaxError } from '../src/http/parser.js';
-import { serveHttp } from '../src/http/server.js';
+import { startHttpServer } from '../src/http/server.js';
 
 const HOST_HEADER = 'Host: a\r\n';
 
@@ -101,7 +101,7 @@
 }
 
 async function startEchoServer(maxConnections = 10, clock: Clock = systemClock): Promise<Server> {
-  return serveHttp(
+  return startHttpServer(
     '127.0.0.1:0',
     maxConnections,
     (request, respond) => {
@@ -141,7 +141,7 @@
 
 test('client: reuses connections, and distinguishes unsent requests from those that may have been executed', async () => {
   const server = await startEchoServer();
-  const caller = new SocketCaller(systemClock, 2);
+  const caller = new SocketHttpClient(systemClock, 2);
   const address = getAddress(server);
   const responses = await Promise.all(
     Array.from({ length: 20 }, (_, i) => caller.call(address, 'POST', `/${i}`, `"${i}"`, 5000)),
@@ -151,13 +151,13 @@
   );
   await assert.rejects(
     caller.call('127.0.0.1:1', 'GET', '/', undefined, 5000),
-    (error: unknown) => error instanceof CallError && error.failure === 'unsent',
+    (error: unknown) => error instanceof HttpCallError && error.failure === 'unsent',
   );
   const droppingServer = createServer((socket) => socket.on('data', () => socket.destroy()));
   await new Promise<void>((resolve) => droppingServer.listen(0, '127.0.0.1', resolve));
   await assert.rejects(
     caller.call(getAddress(droppingServer), 'GET', '/', undefined, 5000),
-    (error: unknown) => error instanceof CallError && error.failure === 'unclear',
+    (error: unknown) => error instanceof HttpCallError && error.failure === 'unclear',
   );
   caller.close();
   droppingServer.close();
@@ -193,7 +193,7 @@
 
 test('client: the connections to all addresses are limited, and an idle one is closed for a new one', async () => {
   const servers = await Promise.all([startEchoServer(), startEchoServer(), startEchoServer()]);
-  const caller = new SocketCaller(systemClock, 1, 2);
+  const caller = new SocketHttpClient(systemClock, 1, 2);
   const call = (server: Server) => caller.call(getAddress(server), 'GET', '/', undefined, 5000);
   for (const server of [...servers, ...servers]) assert.equal((await call(server)).status, 200);
   const connectionCounts = await Promise.all(
@@ -208,7 +208,7 @@
   // Both allowed connections are in use, so the third call is rejected at once.
   const results = await Promise.allSettled(servers.map(call));
   assert.deepEqual(
-    results.map((r) => (r.status === 'rejected' ? (r.reason as CallError).failure : r.value.status)),
+    results.map((r) => (r.status === 'rejected' ? (r.reason as HttpCallError).failure : r.value.status)),
     [200, 200, 'unsent'],
   );
   caller.close();
@@ -220,7 +220,7 @@
 test('server: with more clients than sockets, connections close after their responses and all clients are served', async () => {
   const MAX_CONNECTIONS = 10;
   const CLIENT_COUNT = 25;
-  const server = await serveHttp(
+  const server = await startHttpServer(
     '127.0.0.1:0',
     MAX_CONNECTIONS,
     (_request, respond) => setImmediate(() => respond({ status: 200, body: '{}' })),
@@ -228,8 +228,8 @@
     pino({ level: 'silent' }),
   );
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const callers = Array.from({ length: CLIENT_COUNT }, () => new SocketCaller(systemClock, 1));
-  const responseCounts = new Map<SocketCaller, number>();
+  const callers = Array.from({ length: CLIENT_COUNT }, () => new SocketHttpClient(systemClock, 1));
+  const responseCounts = new Map<SocketHttpClient, number>();
   for (let round = 0; round < 4; round++)
     for (const caller of callers) {
       const response = await caller.call(address, 'GET', '/x', undefined, 2000).catch(() => undefined);
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -8,14 +8,14 @@
   INSTANCE_LIST_PAGE_SIZE,
   MAX_INSTANCES_PER_LAUNCH,
 } from '../src/constants.js';
-import { settingsWarnings } from '../src/settings-warnings.js';
+import { findSettingsWarnings } from '../src/settings-warnings.js';
 import type { Settings } from '../src/settings.js';
 import { CloudClient, computeLeaderCloudRates, type CloudEvent } from '../src/autoscaler/cloud-client.js';
-import type { HttpCaller } from '../src/http/message.js';
-import { AnswerTooLargeError } from '../src/http/message.js';
+import type { HttpClient } from '../src/http/message.js';
+import { ResponseTooLargeError } from '../src/http/message.js';
 import { MemoryGuard } from '../src/memory-guard.js';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
-import { divideMemory, shareSockets } from '../src/sizing.js';
+import { divideMemory, divideSockets } from '../src/sizing.js';
 import { StateReplica } from '../src/state/state-replica.js';
 import { StoreClient } from '../src/state/store-client.js';
 
@@ -23,14 +23,18 @@
 const silentLog = pino({ level: 'silent' });
 
 test('sockets and memory are divided according to the size of a controller', () => {
-  const socketCases: [sockets: number, forClients: number, forCommands: number][] = [
+  const socketCases: [sockets: number, maxClientConnections: number, maxCommandConnections: number][] = [
     [128, 76, 20],
     [900, 701, 135],
     [1743, 1417, 262],
     [6500, 5461, 975],
   ];
-  for (const [sockets, forClients, forCommands] of socketCases)
-    assert.deepEqual(shareSockets(sockets), { forClients, forCommands }, `${sockets} sockets`);
+  for (const [sockets, maxClientConnections, maxCommandConnections] of socketCases)
+    assert.deepEqual(
+      divideSockets(sockets),
+      { maxClientConnections, maxCommandConnections },
+      `${sockets} sockets`,
+    );
   const memoryCases: [
     memoryMb: number,
     peerCount: number,
@@ -77,7 +81,7 @@
       `${machineCount}: spacing of the writes of a node group`,
     );
     assert.ok(
-      shareSockets(machineCount).forClients * SCARCE_SOCKETS_SHARE > machineCount / 2,
+      divideSockets(machineCount).maxClientConnections * SCARCE_SOCKETS_SHARE > machineCount / 2,
       `${machineCount}: sockets for clients`,
     );
   }
@@ -85,35 +89,43 @@
 
 test('each setting that is too low for the guarantees of the service causes one warning', () => {
   const sufficient = {
-    controllers: 3,
-    leaseS: 14,
-    reportS: 1.5,
-    cancelS: 39,
-    state: { requestsPerSecond: 200, writesPerSecond: 80, valueBytes: 8192, maxTransactionOperations: 12 },
-    cloud: { rps: 6, listLagS: 5 },
-    sockets: shareSockets(900),
+    controllerCount: 3,
+    leaseDurationS: 14,
+    heartbeatIntervalS: 1.5,
+    maxCancellationS: 39,
+    stateLimits: {
+      requestsPerSecond: 200,
+      writesPerSecond: 80,
+      valueBytes: 8192,
+      maxTransactionOperations: 12,
+    },
+    cloudLimits: { rps: 6, maxListLagS: 5 },
+    socketLimits: divideSockets(900),
     memoryBytes: 108 * MB,
   } as Settings;
   const warningCases: [changes: Partial<Settings>, warnings: RegExp[]][] = [
     [{}, []],
     [
-      { state: { ...sufficient.state, requestsPerSecond: 10 } },
+      { stateLimits: { ...sufficient.stateLimits, requestsPerSecond: 10 } },
       [/^state.rps is 10, but at least 22.23 is needed: /],
     ],
-    [{ controllers: 50 }, [/^state.rps is 200, but at least 370.38 is needed: /]],
-    [{ state: { ...sufficient.state, writesPerSecond: 4 } }, [/^state.write_rps is 4, /]],
+    [{ controllerCount: 50 }, [/^state.rps is 200, but at least 370.38 is needed: /]],
+    [{ stateLimits: { ...sufficient.stateLimits, writesPerSecond: 4 } }, [/^state.write_rps is 4, /]],
     [
-      { state: { ...sufficient.state, valueBytes: 512, maxTransactionOperations: 2 } },
+      { stateLimits: { ...sufficient.stateLimits, valueBytes: 512, maxTransactionOperations: 2 } },
       [/^state.value_kb is 0.5/, /^state.txn_ops is 2/],
     ],
-    [{ cloud: { rps: 0.5, listLagS: 5 } }, [/^cloud.rps is 0.5/]],
-    [{ sockets: shareSockets(128) }, [/max_connections \(for clients\) is 76, but at least 100 is needed/]],
+    [{ cloudLimits: { rps: 0.5, maxListLagS: 5 } }, [/^cloud.rps is 0.5/]],
+    [
+      { socketLimits: divideSockets(128) },
+      [/max_connections \(for clients\) is 76, but at least 100 is needed/],
+    ],
     [{ memoryBytes: 64 * MB }, [/^quota.mem_mb is 64, but at least 100 is needed/]],
-    [{ leaseS: 5 }, [/^workers.lease_s is 5, but at least 6 is needed/]],
-    [{ cancelS: 15 }, [/^workers.cancel_s is 15, but at least 20.5 is needed/]],
+    [{ leaseDurationS: 5 }, [/^workers.lease_s is 5, but at least 6 is needed/]],
+    [{ maxCancellationS: 15 }, [/^workers.cancel_s is 15, but at least 20.5 is needed/]],
   ];
   for (const [changes, patterns] of warningCases) {
-    const warnings = settingsWarnings({ ...sufficient, ...changes });
+    const warnings = findSettingsWarnings({ ...sufficient, ...changes });
     assert.equal(warnings.length, patterns.length, warnings.join('\n'));
     patterns.forEach((pattern, i) => assert.match(warnings[i]!, pattern));
   }
@@ -144,11 +156,11 @@
   const clock = new SimulatedClock();
   const requestedTargets: string[] = [];
   let isResponseTooLarge = false;
-  const caller: HttpCaller = {
+  const caller: HttpClient = {
     call: (_address, _method, target) => {
       requestedTargets.push(target);
       if (target.startsWith('/follow')) {
-        if (isResponseTooLarge) return Promise.reject(new AnswerTooLargeError('too large'));
+        if (isResponseTooLarge) return Promise.reject(new ResponseTooLargeError('too large'));
         return Promise.resolve({ status: 200, body: '{"epoch":1,"log":[]}' });
       }
       const value = isResponseTooLarge ? 'new' : 'old';
@@ -192,7 +204,7 @@
     phase: 'running',
     ageS: 1,
   });
-  const caller: HttpCaller = {
+  const caller: HttpClient = {
     call: (_address, method, target) => {
       requests.push({ atMs: clock.steadyMs(), target: `${method} ${target}` });
       if (target === '/catalog') return Promise.resolve({ status: 200, body: '{"builds":[]}' });
--- a/test/state/state-replica.test.ts
+++ b/test/state/state-replica.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
-import { AnswerTooLargeError, CallError, type HttpResponse } from '../../src/http/message.js';
+import { ResponseTooLargeError, HttpCallError, type HttpResponse } from '../../src/http/message.js';
 import { StateReplica } from '../../src/state/state-replica.js';
 import { StoreClient } from '../../src/state/store-client.js';
 import { CompactedRevisionError, ReplicaNotLoadedError, StoreError } from '../../src/state/store-error.js';
@@ -37,10 +37,10 @@
   const respondWithStatus = (status: number) => () => Promise.resolve({ status, body: '{}' });
   const cases: [name: string, watch: () => Promise<HttpResponse>, reloads: boolean][] = [
     ['compacted', respondWithStatus(410), true],
-    ['too large', () => Promise.reject(new AnswerTooLargeError('too large')), true],
+    ['too large', () => Promise.reject(new ResponseTooLargeError('too large')), true],
     ['not served', respondWithStatus(503), false],
     ['malformed', () => Promise.resolve({ status: 200, body: '{}' }), false],
-    ['lost', () => Promise.reject(new CallError('unclear', 'lost')), false],
+    ['lost', () => Promise.reject(new HttpCallError('unclear', 'lost')), false],
   ];
   for (const [name, watch, shouldReload] of cases) {
     const { clock, service, replica } = setUp();
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -4,7 +4,7 @@
 import { ClusterState, type Attempt } from '../../src/cluster/cluster-state.js';
 import { LOST_START_FENCING_DELAY_MS, STOP_RESEND_INTERVAL_MS } from '../../src/constants.js';
 import { LeadershipAuthority } from '../../src/election/leadership-authority.js';
-import { CallError, type HttpResponse } from '../../src/http/message.js';
+import { HttpCallError, type HttpResponse } from '../../src/http/message.js';
 import { Job } from '../../src/pipeline/job.js';
 import { CommandDispatcher } from '../../src/workers/command-dispatcher.js';
 import { jobSpec } from '../fixtures.js';
@@ -76,8 +76,8 @@
     ['fenced', respondWith(409), 'planned', 'none', ['vm-1']],
     ['malformed', respondWith(400), 'planned', 'none', []],
     ['another status', respondWith(500), 'sent', 'lost', []],
-    ['not sent', failWith(new CallError('unsent', 'refused')), 'planned', 'none', []],
-    ['no response', failWith(new CallError('unclear', 'timeout')), 'sent', 'lost', []],
+    ['not sent', failWith(new HttpCallError('unsent', 'refused')), 'planned', 'none', []],
+    ['no response', failWith(new HttpCallError('unclear', 'timeout')), 'sent', 'lost', []],
     ['another error', failWith(new TypeError('unexpected')), 'sent', 'lost', []],
   ];
   for (const [name, respond, state, directStart, responses] of cases) {
@@ -92,7 +92,7 @@
 
 test('a lost start is not repeated by a direct call, and is fenced by a new term once its job has ended', async () => {
   const { clusterState, job, attempt, node, dispatcher, bodies, sendPending } = setUp(() =>
-    Promise.reject(new CallError('unclear', 'timeout')),
+    Promise.reject(new HttpCallError('unclear', 'timeout')),
   );
   await sendPending(10);
   // A heartbeat did not list the attempt, so its start has to be sent again, but not by a direct call.
