--- a/src/controller.ts
+++ b/src/controller.ts
@@ -185,7 +185,7 @@
       settings,
       cancellationWatermark: this.cancellationWatermark,
       jobDependencies: this.jobDependencies,
-      isStateStoreAvailable: () => !this.storeClient.hasLastCallFailed,
+      isStateStoreAvailable: () => !this.storeClient.lastCallFailed,
       replica: this.replica,
       transactionBatcher: this.batcher,
       httpClient,
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -142,9 +142,7 @@
 
   private tickIntervalMs(): number {
     if (this.role.kind !== 'leader') return CAMPAIGN_JITTER_MS;
-    return this.options.storeClient.hasLastCallFailed
-      ? LEASE_VOTE_REQUEST_INTERVAL_MS
-      : LEADER_LEASE_RENEWAL_MS;
+    return this.options.storeClient.lastCallFailed ? LEASE_VOTE_REQUEST_INTERVAL_MS : LEADER_LEASE_RENEWAL_MS;
   }
 
   private onTick(): void {
@@ -235,7 +233,7 @@
         this.send({ kind: 'leaseRenewalAnswered', leaseId: lease.id, requestedAtMs, isAlive }),
       onFailed: () => this.send({ kind: 'leaseRenewalFailed' }),
     });
-    if (this.options.storeClient.hasLastCallFailed) this.voteCollector.requestVotes(term, requestedAtMs);
+    if (this.options.storeClient.lastCallFailed) this.voteCollector.requestVotes(term, requestedAtMs);
   }
 
   private onLeaseRenewalAnswered(leaseId: WireInt, requestedAtMs: number, isAlive: boolean): void {
--- a/src/election/leadership-transfer.ts
+++ b/src/election/leadership-transfer.ts
@@ -15,7 +15,7 @@
   /** Zone of this controller. */
   readonly zone: string;
   readonly peers: readonly Peer[];
-  readonly storeClient: Pick<StoreClient, 'hasLastCallFailed'>;
+  readonly storeClient: Pick<StoreClient, 'lastCallFailed'>;
   readonly replica: Pick<StateReplica, 'listPrefix'>;
   readonly failureDetector: PeerFailureDetector;
   /** Returns the time of the steady clock in milliseconds. */
@@ -37,7 +37,7 @@
     const nowMs = this.dependencies.nowMs();
     if (nowMs - electedAtMs < LEADERSHIP_TRANSFER_MIN_TERM_MS || nowMs < this.earliestTransferAtMs)
       return undefined;
-    if (storeClient.hasLastCallFailed) return undefined;
+    if (storeClient.lastCallFailed) return undefined;
     const nodeZones = NodeZones.fromReplica(replica);
     if (!nodeZones.isRemote(ownZone)) return undefined;
     return peers.find(
--- a/src/election/lease-voter.ts
+++ b/src/election/lease-voter.ts
@@ -25,7 +25,7 @@
 
 /** Dependencies of `LeaseVoter`. */
 export interface LeaseVoterDependencies {
-  readonly storeClient: Pick<StoreClient, 'hasLastCallFailed' | 'lastServedCallMs'>;
+  readonly storeClient: Pick<StoreClient, 'lastCallFailed' | 'lastServedCallMs'>;
   readonly replica: Pick<StateReplica, 'get' | 'isLoaded' | 'linearizableRead'>;
   readonly transport: Pick<PeerTransport, 'send'>;
   /** Returns the time of the steady clock in milliseconds. */
@@ -123,7 +123,7 @@
     const { storeClient, replica } = this.dependencies;
     if (!this.dependencies.isFollower()) return false;
     if (decodeTerm(replica.get(TERM_KEY)?.value) > term) return false;
-    if (storeClient.hasLastCallFailed) return true;
+    if (storeClient.lastCallFailed) return true;
     if (this.dependencies.nowMs() - storeClient.lastServedCallMs <= STATE_UNAVAILABLE_AFTER_MS) return false;
     return this.isProbeOverdue();
   }
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -106,7 +106,7 @@
   }
 
   /** Whether the last call that ended was not served by the store. */
-  get hasLastCallFailed(): boolean {
+  get lastCallFailed(): boolean {
     return this.failingSinceMs < Infinity;
   }
 
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -24,7 +24,7 @@
 /** A state store that grants leases and applies every transaction, but fails each lease renewal. */
 function createStoreClient() {
   return {
-    hasLastCallFailed: false,
+    lastCallFailed: false,
     lastServedCallMs: 0,
     isStoreAvailable: true,
     setIsLeader: () => undefined,
@@ -62,8 +62,8 @@
     },
     linearizableRead: () => {
       if (probe === 'unanswered') return new Promise(() => undefined);
-      storeClient.hasLastCallFailed = probe === 'refused';
-      if (storeClient.hasLastCallFailed) return Promise.reject(new Error('refused'));
+      storeClient.lastCallFailed = probe === 'refused';
+      if (storeClient.lastCallFailed) return Promise.reject(new Error('refused'));
       storeClient.lastServedCallMs = clock.steadyMs();
       return Promise.resolve();
     },
@@ -143,7 +143,7 @@
     election.start();
     while (!term()) await clock.runUntil(clock.steadyMs() + 50);
     const startMs = clock.steadyMs();
-    storeClient.hasLastCallFailed = true;
+    storeClient.lastCallFailed = true;
     // Each request is answered immediately, the last one shortly before the lease would have expired.
     let answeredCount = 0;
     while (clock.steadyMs() < startMs + LEADER_LEASE_TTL_MS - 400) {
@@ -205,7 +205,7 @@
     }
     prepare(fixture);
     await fixture.clock.runUntil(STATE_UNAVAILABLE_AFTER_MS * 2);
-    fixture.storeClient.hasLastCallFailed = true;
+    fixture.storeClient.lastCallFailed = true;
     fixture.receive({ kind: 'leaseVoteRequest', round: 1, term: 6, ...request });
     const vote = fixture.sent.find((m) => m.kind === 'leaseVote');
     assert.ok(vote?.isGranted, name);
@@ -277,7 +277,7 @@
     const fixture = createFixture(undefined);
     fixture.election.start();
     while (!fixture.term()) await fixture.clock.runUntil(fixture.clock.steadyMs() + 50);
-    fixture.storeClient.hasLastCallFailed = true;
+    fixture.storeClient.lastCallFailed = true;
     const { fencingToken } = fixture.term()!;
     let request: PeerMessage | undefined;
     while (!(request = fixture.sent.find((m) => m.kind === 'leaseVoteRequest')))
