--- a/scripts/behavior-trace.ts
+++ b/scripts/behavior-trace.ts
@@ -6,7 +6,7 @@
 import { readFileSync, writeFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { Command } from 'commander';
-import { SimDay, SMALL } from '../src/simulation/day.js';
+import { SimulatedDeployment, SMALL_DEPLOYMENT } from '../src/simulation/simulated-deployment.js';
 import { CHECKPOINT_MESSAGES, TrafficRecorder, type Recording } from './behavior-trace/recorder.js';
 import { DEFAULT_SECONDS, SCENARIOS, type Scenario } from './behavior-trace/scenarios.js';
 
@@ -45,8 +45,8 @@
   onLine?: (line: string) => void,
 ): Promise<RunResult> {
   const recorders: TrafficRecorder[] = [];
-  const deployment = new SimDay(seed, {
-    ...SMALL,
+  const deployment = new SimulatedDeployment(seed, {
+    ...SMALL_DEPLOYMENT,
     ...scenario.options,
     createObserver: (clock) => {
       const recorder = new TrafficRecorder(clock, onLine);
@@ -62,7 +62,7 @@
   return {
     name,
     ...recorder.finish(),
-    brokenRules: deployment.rules.broken.length,
+    brokenRules: deployment.rules.violations.length,
     tasksStarted: deployment.rules.startCount,
   };
 }
--- a/scripts/behavior-trace/faults.ts
+++ b/scripts/behavior-trace/faults.ts
@@ -2,19 +2,19 @@
  * Faults of the behaviour trace. Each one is scheduled at given seconds of simulated time, and so is its end if it
  * lasts.
  */
-import type { SimDay } from '../../src/simulation/day.js';
-import type { SimJob } from '../../src/simulation/rules.js';
+import type { SimulatedDeployment } from '../../src/simulation/simulated-deployment.js';
+import type { SimulatedJob } from '../../src/simulation/rule-checker.js';
 
 /** Schedules a fault in a simulated deployment. Called once, before the clock of the deployment runs. */
-export type Fault = (deployment: SimDay) => void;
+export type Fault = (deployment: SimulatedDeployment) => void;
 
-const getLeader = (deployment: SimDay): string => deployment.leader ?? deployment.members[0]!;
+const getLeader = (deployment: SimulatedDeployment): string => deployment.leader ?? deployment.members[0]!;
 
-const otherMembers = (deployment: SimDay, member: string): string[] =>
+const otherMembers = (deployment: SimulatedDeployment, member: string): string[] =>
   deployment.members.filter((each) => each !== member);
 
-const listFirstRunningHosts = (deployment: SimDay, count: number): string[] =>
-  [...deployment.cloud.hosts.values()]
+const listFirstRunningHosts = (deployment: SimulatedDeployment, count: number): string[] =>
+  [...deployment.cloud.machines.values()]
     .filter((host) => host.worker)
     .slice(0, count)
     .map((host) => host.name);
@@ -34,27 +34,29 @@
 export const memberCrash =
   (atS: number, member: string, restartDelayMs: number): Fault =>
   (deployment) =>
-    deployment.at(atS, () => deployment.crash(member, restartDelayMs));
+    deployment.at(atS, () => deployment.crashController(member, restartDelayMs));
 
 /** The controller that leads at that time crashes and restarts after a delay. */
 export const leaderCrash =
   (atS: number, restartDelayMs: number): Fault =>
   (deployment) =>
-    deployment.at(atS, () => deployment.crash(getLeader(deployment), restartDelayMs));
+    deployment.at(atS, () => deployment.crashController(getLeader(deployment), restartDelayMs));
 
 /** All controllers crash. Each restarts `staggerMs` later than the one before. */
 export const allMembersCrash =
   (atS: number, restartDelayMs: number, staggerMs = 0): Fault =>
   (deployment) =>
     deployment.at(atS, () =>
-      deployment.members.forEach((member, i) => deployment.crash(member, restartDelayMs + i * staggerMs)),
+      deployment.members.forEach((member, i) =>
+        deployment.crashController(member, restartDelayMs + i * staggerMs),
+      ),
     );
 
 /** The state service refuses all requests. */
 export const storeOutage =
   (fromS: number, toS: number): Fault =>
   (deployment) => {
-    deployment.at(fromS, () => deployment.state.refused.add('*'));
+    deployment.at(fromS, () => deployment.state.refusedCallers.add('*'));
     deployment.at(toS, () => deployment.state.endOutage());
   };
 
@@ -62,30 +64,33 @@
 export const storeRefusesLeader =
   (atS: number): Fault =>
   (deployment) =>
-    deployment.at(atS, () => deployment.state.refused.add(getLeader(deployment)));
+    deployment.at(atS, () => deployment.state.refusedCallers.add(getLeader(deployment)));
 
 /** The state service refuses only one controller. */
 export const storeRefusesMember =
   (fromS: number, toS: number, member: string): Fault =>
   (deployment) => {
-    deployment.at(fromS, () => deployment.state.refused.add(member));
-    deployment.at(toS, () => deployment.state.refused.delete(member));
+    deployment.at(fromS, () => deployment.state.refusedCallers.add(member));
+    deployment.at(toS, () => deployment.state.refusedCallers.delete(member));
   };
 
 /** A share of the transactions gets no answer and is executed seconds later. */
 export const delayedTransactions =
   (fromS: number, toS: number, share: number): Fault =>
   (deployment) => {
-    deployment.at(fromS, () => (deployment.state.lateShare = share));
-    deployment.at(toS, () => (deployment.state.lateShare = 0));
+    deployment.at(fromS, () => (deployment.state.delayedTransactionShare = share));
+    deployment.at(toS, () => (deployment.state.delayedTransactionShare = 0));
   };
 
 /** The state service handles each request after a random delay. */
 export const slowStore =
   (fromS: number, toS: number, minimumMs: number, spreadMs: number): Fault =>
   (deployment) => {
-    deployment.at(fromS, () => (deployment.state.slowMs = () => minimumMs + deployment.random() * spreadMs));
-    deployment.at(toS, () => (deployment.state.slowMs = undefined));
+    deployment.at(
+      fromS,
+      () => (deployment.state.drawDelayMs = () => minimumMs + deployment.random() * spreadMs),
+    );
+    deployment.at(toS, () => (deployment.state.drawDelayMs = undefined));
   };
 
 /** The leader is partitioned from the state service and the other controllers, but not from workers and users. */
@@ -112,7 +117,7 @@
 export const zonePartition =
   (fromS: number, toS: number): Fault =>
   (deployment) => {
-    deployment.at(fromS, () => deployment.network.cutZones());
+    deployment.at(fromS, () => deployment.network.partitionZones());
     deployment.at(toS, () => deployment.network.heal());
   };
 
@@ -153,11 +158,11 @@
   (deployment) =>
     deployment.at(fromS, () => {
       const workers = listFirstRunningHosts(deployment, count).map(
-        (host) => deployment.cloud.hosts.get(host)!.worker!,
+        (host) => deployment.cloud.machines.get(host)!.worker!,
       );
-      for (const worker of workers) worker.hanging = true;
+      for (const worker of workers) worker.isHanging = true;
       deployment.at(toS, () => {
-        for (const worker of workers) worker.hanging = false;
+        for (const worker of workers) worker.isHanging = false;
       });
     });
 
@@ -166,7 +171,7 @@
   (atS: number, count: number): Fault =>
   (deployment) =>
     deployment.at(atS, () =>
-      listFirstRunningHosts(deployment, count).forEach((host) => deployment.cloud.take(host)),
+      listFirstRunningHosts(deployment, count).forEach((host) => deployment.cloud.terminate(host)),
     );
 
 /** The cloud reclaims all spot machines. */
@@ -174,8 +179,8 @@
   (atS: number): Fault =>
   (deployment) =>
     deployment.at(atS, () => {
-      const spot = [...deployment.cloud.hosts.values()].filter((host) => host.spot);
-      for (const { name } of spot) deployment.cloud.take(name);
+      const spot = [...deployment.cloud.machines.values()].filter((host) => host.spot);
+      for (const { name } of spot) deployment.cloud.terminate(name);
     });
 
 /** The first running machines restart without delay, and their workers count from the start again. */
@@ -184,7 +189,7 @@
   (deployment) =>
     deployment.at(atS, () => {
       for (const host of listFirstRunningHosts(deployment, count))
-        deployment.cloud.hosts.get(host)?.worker?.restart();
+        deployment.cloud.machines.get(host)?.worker?.restart();
     });
 
 /** Every request of the present machines arrives a second time, late. */
@@ -192,7 +197,7 @@
   (atS: number, minimumMs: number, spreadMs: number): Fault =>
   (deployment) =>
     deployment.at(atS, () => {
-      for (const host of deployment.cloud.hosts.keys())
+      for (const host of deployment.cloud.machines.keys())
         deployment.network.duplicateRequests(host, () => minimumMs + deployment.random() * spreadMs);
     });
 
@@ -200,8 +205,8 @@
 export const cloudOutage =
   (fromS: number, toS: number): Fault =>
   (deployment) => {
-    deployment.at(fromS, () => (deployment.cloud.down = true));
-    deployment.at(toS, () => (deployment.cloud.down = false));
+    deployment.at(fromS, () => (deployment.cloud.isDown = true));
+    deployment.at(toS, () => (deployment.cloud.isDown = false));
   };
 
 /** The cloud has only `capacity` machines. */
@@ -217,15 +222,15 @@
 export const leaderPaused =
   (atS: number, durationMs: number): Fault =>
   (deployment) =>
-    deployment.at(atS, () => deployment.freeze(getLeader(deployment), durationMs));
+    deployment.at(atS, () => deployment.pauseController(getLeader(deployment), durationMs));
 
 /** The controller that holds a role at that time pauses for a while. */
 export const roleHolderPaused =
   (atS: number, role: string, durationMs: number): Fault =>
   (deployment) =>
     deployment.at(atS, () => {
-      const lease = deployment.state.peek(`ph/duty-holder/${role}`) as { member: string } | undefined;
-      deployment.freeze(lease?.member ?? deployment.members[0]!, durationMs);
+      const lease = deployment.state.getValue(`ph/duty-holder/${role}`) as { member: string } | undefined;
+      deployment.pauseController(lease?.member ?? deployment.members[0]!, durationMs);
     });
 
 /** All controllers except the leader send only what a former version sends. */
@@ -234,13 +239,13 @@
   (deployment) =>
     deployment.at(atS, () =>
       otherMembers(deployment, getLeader(deployment)).forEach((member) =>
-        deployment.peers.former.add(member),
+        deployment.peers.formerVersionMembers.add(member),
       ),
     );
 
 /** Users submit long jobs and cancel each at one of the given seconds. */
 export const cancellations =
-  (times: number[], fields: Partial<SimJob> = {}): Fault =>
+  (times: number[], fields: Partial<SimulatedJob> = {}): Fault =>
   (deployment) =>
     times.forEach((atS, i) =>
       deployment.at(4 + i * 0.4, () => {
@@ -256,23 +261,23 @@
     for (let i = 0; i < count; i++)
       deployment.at(fromS + i * 3, () => {
         for (const tracked of [...deployment.rules.jobs.values()].slice(0, 8)) {
-          if (!tracked.accepted) continue;
-          if (tracked.told === 'open') void deployment.resubmit(tracked.job);
-          else if (tracked.told === 'done') void deployment.cancel(tracked.job.uid);
+          if (!tracked.isAccepted) continue;
+          if (tracked.reportedPhase === 'open') void deployment.resubmit(tracked.job);
+          else if (tracked.reportedPhase === 'done') void deployment.cancel(tracked.job.uid);
           for (const member of deployment.members)
-            void deployment.askOne(member, 'GET', `/submissions/${tracked.job.uid}`);
+            void deployment.sendRequest(member, 'GET', `/submissions/${tracked.job.uid}`);
         }
         const member = deployment.members[i % deployment.members.length]!;
-        void deployment.askOne(member, 'POST', '/submissions', { uid: 'job-900001', crew: 'red' });
-        void deployment.askOne(
+        void deployment.sendRequest(member, 'POST', '/submissions', { uid: 'job-900001', crew: 'red' });
+        void deployment.sendRequest(
           member,
           'POST',
           '/submissions',
-          deployment.wireOf({ uid: 'job-900002', team: 'green' }),
+          deployment.encodeSubmission({ uid: 'job-900002', team: 'green' }),
         );
-        void deployment.askOne(member, 'GET', '/submissions/job-900009');
-        void deployment.askOne(member, 'GET', '/healthz');
-        void deployment.askOne(member, 'PUT', '/nowhere');
-        void deployment.askOne(member, 'POST', '/v1/report', { hearth: 7 });
+        void deployment.sendRequest(member, 'GET', '/submissions/job-900009');
+        void deployment.sendRequest(member, 'GET', '/healthz');
+        void deployment.sendRequest(member, 'PUT', '/nowhere');
+        void deployment.sendRequest(member, 'POST', '/v1/report', { hearth: 7 });
       });
   };
--- a/scripts/behavior-trace/scenarios.ts
+++ b/scripts/behavior-trace/scenarios.ts
@@ -2,7 +2,7 @@
  * Scenarios of the behaviour trace. They are fixed: to change one, first record its digests with the unchanged
  * sources.
  */
-import type { DayOptions } from '../../src/simulation/day.js';
+import type { DeploymentOptions } from '../../src/simulation/simulated-deployment.js';
 import * as fault from './faults.js';
 import { spaceEvenly } from './faults.js';
 import * as workload from './workloads.js';
@@ -12,7 +12,7 @@
   readonly name: string;
   readonly workload: workload.Workload;
   readonly faults: readonly fault.Fault[];
-  readonly options?: Partial<DayOptions>;
+  readonly options?: Partial<DeploymentOptions>;
   /** Duration in simulated seconds. Defaults to DEFAULT_SECONDS. */
   readonly seconds?: number;
 }
@@ -21,8 +21,12 @@
 export const DEFAULT_SECONDS = 160;
 
 const ALL_MEMBERS = ['c0', 'c1', 'c2'];
-const ROLES_ENABLED: Partial<DayOptions> = { duties: ALL_MEMBERS };
-const HUNDREDS_OF_MACHINES: Partial<DayOptions> = { controllers: 7, machines: 320, scale: 60 };
+const ROLES_ENABLED: Partial<DeploymentOptions> = { roleMembers: ALL_MEMBERS };
+const HUNDREDS_OF_MACHINES: Partial<DeploymentOptions> = {
+  controllers: 7,
+  machineCapacity: 320,
+  cpuLimitScale: 60,
+};
 
 const CONTROLLER_SCENARIOS: Scenario[] = [
   { name: 'no fault', workload: workload.mixedWorkload, faults: [] },
@@ -165,7 +169,7 @@
     name: 'announced lower limits',
     workload: workload.dependentJobWorkload,
     faults: [fault.leaderCrash(50, 1000)],
-    options: { next: { valueBytes: 2048, maxTransactionOperations: 6 } },
+    options: { announcedLimits: { valueBytes: 2048, maxTransactionOperations: 6 } },
   },
   {
     name: 'controllers cut from each other in an outage',
@@ -413,7 +417,7 @@
       fault.memberCrash(70, 'c2', 5000),
       fault.allMembersCrash(100, 9000, 500),
     ],
-    options: { duties: ['c0', 'c1'] },
+    options: { roleMembers: ['c0', 'c1'] },
   },
 ];
 
--- a/scripts/behavior-trace/workloads.ts
+++ b/scripts/behavior-trace/workloads.ts
@@ -1,14 +1,14 @@
 /** Workloads of the behaviour trace. */
-import type { SimDay } from '../../src/simulation/day.js';
+import type { SimulatedDeployment } from '../../src/simulation/simulated-deployment.js';
 
 /** Schedules the submissions of users. Called once, before the clock of the deployment runs. */
-export type Workload = (deployment: SimDay) => void;
+export type Workload = (deployment: SimulatedDeployment) => void;
 
 /**
  * A service and arrays of different sizes. Some have a deadline, some may run on spot machines, and one is cancelled.
  */
 export const mixedWorkload: Workload = (deployment) => {
-  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
+  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, zoneSpread: true }));
   for (let i = 0; i < 14; i++)
     deployment.at(4 + i * 8, () =>
       deployment.submit({
@@ -16,7 +16,7 @@
         tasks: 1 + ((i * 3) % 7),
         runS: 8 + ((i * 7) % 30),
         spot: i % 2 === 0,
-        dueS: i % 3 ? 60 : null,
+        deadlineS: i % 3 ? 60 : null,
       }),
     );
   deployment.at(20, () => deployment.submit({ team: 'red', tasks: 6, runS: 60 }, 15));
@@ -38,18 +38,18 @@
       const first = deployment.submit({ tasks: 3, runS: 12 }, chain === 3 ? 8 : undefined);
       const second = deployment.submit({ tasks: 4, runS: 10, dependencies: [first.uid] });
       const third = deployment.submit({ tasks: 2, runS: 8, dependencies: [first.uid] });
-      deployment.submit({ tasks: 1, runS: 5, dueS: 90, dependencies: [second.uid, third.uid] });
+      deployment.submit({ tasks: 1, runS: 5, deadlineS: 90, dependencies: [second.uid, third.uid] });
     });
 };
 
 /** Jobs bound to a given zone or to any single zone, and services spread over zones. */
 export const zonedJobWorkload: Workload = (deployment) => {
   mixedWorkload(deployment);
-  deployment.at(10, () => deployment.submit({ tasks: 6, runS: 40, oneZone: true }));
+  deployment.at(10, () => deployment.submit({ tasks: 6, runS: 40, singleZone: true }));
   deployment.at(12, () => deployment.submit({ tasks: 6, runS: 40, zone: 'west' }));
-  deployment.at(14, () => deployment.submit({ kind: 'service', team: 'red', tasks: 2, oneZone: true }));
+  deployment.at(14, () => deployment.submit({ kind: 'service', team: 'red', tasks: 2, singleZone: true }));
   deployment.at(16, () =>
-    deployment.submit({ kind: 'service', team: 'blue', tasks: 5, scatter: true, zone: null }),
+    deployment.submit({ kind: 'service', team: 'blue', tasks: 5, zoneSpread: true, zone: null }),
   );
 };
 
@@ -57,7 +57,7 @@
 export const overloadWorkload: Workload = (deployment) => {
   mixedWorkload(deployment);
   for (let i = 0; i < 6; i++)
-    deployment.at(8 + i * 5, () => deployment.submit({ tasks: 14, runS: 15, dueS: i % 2 ? 50 : null }));
+    deployment.at(8 + i * 5, () => deployment.submit({ tasks: 14, runS: 15, deadlineS: i % 2 ? 50 : null }));
   for (let i = 0; i < 4; i++)
     deployment.at(22 + i * 10, () => deployment.submit({ kind: 'service', tasks: 3 }));
 };
@@ -72,11 +72,11 @@
 /** Large arrays and services, for hundreds of machines. */
 export const largeArrayWorkload: Workload = (deployment) => {
   for (let i = 0; i < 4; i++)
-    deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 9, scatter: true }));
+    deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 9, zoneSpread: true }));
   for (const [atS, tasks] of [
     [5, 420],
     [20, 300],
     [35, 200],
   ] as const)
-    deployment.at(atS, () => deployment.submit({ tasks, runS: 20, dueS: 80, spot: atS !== 20 }));
+    deployment.at(atS, () => deployment.submit({ tasks, runS: 20, deadlineS: 80, spot: atS !== 20 }));
 };
--- a/scripts/duties/pauses.ts
+++ b/scripts/duties/role-holder-failures.ts
@@ -12,9 +12,9 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { decodeIntent, ROLES, roleHolderKey, type Role } from '@pumicehinge/duties';
 import { systemClock } from '@pumicehinge/runtime';
-import { DutyLog, withoutFences } from '../../src/simulation/duty-log.js';
+import { RoleActionLog, removeFencingConditions } from '../../src/simulation/role-action-log.js';
 import { LoopbackCluster } from '../../src/simulation/loopback-cluster.js';
-import type { SimHandler } from '../../src/simulation/network.js';
+import type { SimulatedHandler } from '../../src/simulation/network.js';
 
 const TIMING = { reportS: 1, leaseS: 10, cancelS: 30, bootS: 1 };
 const MACHINES = 20;
@@ -54,7 +54,7 @@
 
 /** One cluster, in which one holder after another fails. */
 class ClusterTrial {
-  readonly actionLog: DutyLog;
+  readonly actionLog: RoleActionLog;
   readonly takeoverTimes = new Map<Failure, Histogram>();
   /** Failures after which no member took the role over. */
   readonly missedTakeovers: string[] = [];
@@ -72,10 +72,10 @@
     const generator = xoroshiro128plus(1000 + index);
     this.random = () => uniformFloat64(generator);
     this.cluster = new LoopbackCluster({
-      ...{ controllers, machines: MACHINES, timing: TIMING, folder, random: this.random },
-      operator: { idleKeepS: 1, duties: { enabled: true } },
+      ...{ controllers, machineCapacity: MACHINES, timing: TIMING, folder, random: this.random },
+      operatorSettings: { idleKeepS: 1, duties: { enabled: true } },
     });
-    this.actionLog = new DutyLog(this.cluster.state, this.cluster.cloud, () => systemClock.steadyMs());
+    this.actionLog = new RoleActionLog(this.cluster.state, this.cluster.cloud, () => systemClock.steadyMs());
   }
 
   async run(rounds: number): Promise<void> {
@@ -97,7 +97,7 @@
   }
 
   get violations(): readonly string[] {
-    return this.cluster.rules.broken;
+    return this.cluster.rules.violations;
   }
 
   get restartCount(): number {
@@ -107,7 +107,7 @@
   listUnfinishedJobs(): string[] {
     return this.jobs.filter((uid) => {
       const tracked = this.cluster.rules.jobs.get(uid);
-      return tracked?.done.size !== tracked?.job.tasks;
+      return tracked?.completedTasks.size !== tracked?.job.tasks;
     });
   }
 
@@ -116,24 +116,24 @@
   }
 
   private hangRandomWorker(): void {
-    const workingHosts = [...this.cluster.cloud.hosts.values()].filter(
-      ({ worker }) => worker && !worker.hanging,
+    const workingHosts = [...this.cluster.cloud.machines.values()].filter(
+      ({ worker }) => worker && !worker.isHanging,
     );
     const chosen = workingHosts[Math.floor(this.random() * workingHosts.length)];
     const worker = chosen?.worker;
     if (!worker) return;
-    worker.hanging = true;
+    worker.isHanging = true;
     // The controllers return most hanging machines before that. The others must not take up cloud capacity for ever.
-    systemClock.setTimer(HANG_MS, () => (worker.hanging = false));
+    systemClock.setTimer(HANG_MS, () => (worker.isHanging = false));
   }
 
   private async waitForJobs(): Promise<void> {
     for (let i = 0; i < COMPLETION_TIMEOUT_S && this.listUnfinishedJobs().length > 0; i++) await sleep(1_000);
   }
 
-  private intercept(service: 'state' | 'cloud', handler: SimHandler): SimHandler {
+  private intercept(service: 'state' | 'cloud', handler: SimulatedHandler): SimulatedHandler {
     return async (from, method, target, body) => {
-      const forwardedBody = this.skipsFencing && target === '/multi' ? withoutFences(body!) : body;
+      const forwardedBody = this.skipsFencing && target === '/multi' ? removeFencingConditions(body!) : body;
       if (this.pendingFailure && this.isTriggerRequest(service, from, method, target, body)) {
         const { failure, fail } = this.pendingFailure;
         this.pendingFailure = undefined;
@@ -153,7 +153,7 @@
     body: string | undefined,
   ): boolean {
     const { failure, role } = this.pendingFailure!;
-    if (body === undefined || method !== 'POST' || this.actionLog.holderOf(role) !== from) return false;
+    if (body === undefined || method !== 'POST' || this.actionLog.getHolder(role) !== from) return false;
     if (service === 'state')
       return failure === 'paused when its intent arrives' && target === '/multi' && commitsIntent(body, role);
     const isCall = role === 'rent' ? target === '/hosts' : target === '/hosts/return';
@@ -196,8 +196,8 @@
         cluster.kill(member);
         return void systemClock.setTimer(durationMs, () => cluster.startController(member));
       case 'isolated from the state service':
-        cluster.cutFromState.add(member);
-        return void systemClock.setTimer(durationMs, () => cluster.cutFromState.delete(member));
+        cluster.isolatedFromState.add(member);
+        return void systemClock.setTimer(durationMs, () => cluster.isolatedFromState.delete(member));
       default:
         cluster.pause(member);
         return void systemClock.setTimer(durationMs, () => cluster.resume(member));
@@ -206,7 +206,7 @@
 
   private async waitForHolder(role: Role): Promise<string | undefined> {
     for (let waitedMs = 0; waitedMs < TAKEOVER_TIMEOUT_MS; waitedMs += 50) {
-      const holder = this.actionLog.holderOf(role);
+      const holder = this.actionLog.getHolder(role);
       if (holder !== undefined) return holder;
       await sleep(50);
     }
@@ -248,7 +248,7 @@
 }
 
 function formatReport(trials: readonly ClusterTrial[]): string {
-  const staleSummaries = trials.map(({ actionLog }) => actionLog.stale());
+  const staleSummaries = trials.map(({ actionLog }) => actionLog.summarizeStaleActions());
   const sum = (count: (trial: (typeof staleSummaries)[number]) => number): number =>
     staleSummaries.reduce((total, each) => total + count(each), 0);
   const rows = FAILURES.map((failure) => {
@@ -265,9 +265,9 @@
     ...rows,
     '',
     `actions received: ${trials.reduce((total, { actionLog }) => total + actionLog.actions.length, 0)}`,
-    `accepted from a replaced holder: ${sum(({ accepted }) => accepted.length)}`,
-    `stale calls without effect: ${sum(({ withoutEffect }) => withoutEffect)}`,
-    `stale calls that were the first to carry out a committed intent: ${sum(({ asRecorded }) => asRecorded)}`,
+    `accepted from a replaced holder: ${sum(({ acceptedActions }) => acceptedActions.length)}`,
+    `stale calls without effect: ${sum(({ ineffectiveCallCount }) => ineffectiveCallCount)}`,
+    `stale calls that were the first to carry out a committed intent: ${sum(({ committedEffectCount }) => committedEffectCount)}`,
     `failures without a takeover: ${trials.flatMap(({ missedTakeovers }) => missedTakeovers).join('; ') || 0}`,
     `jobs: ${trials.reduce((total, { jobs }) => total + jobs.length, 0)}, not done: ${trials.flatMap((trial) => trial.listUnfinishedJobs()).length}`,
     `rule violations: ${trials.flatMap(({ violations }) => violations).join('; ') || 0}`,
@@ -290,7 +290,7 @@
   process.exit(0);
 }
 
-await new Command('pauses')
+await new Command('role-holder-failures')
   .option('--clusters <n>', 'number of clusters that run side by side', '6')
   .option('--controllers <n>', 'number of controllers of each cluster', '3')
   .option('--rounds <n>', 'number of failures in each cluster', '40')
--- a/scripts/profile/load.ts
+++ b/scripts/profile/load.ts
@@ -29,7 +29,7 @@
   const hookFile = join(import.meta.dirname, 'hook.cjs');
   const cluster = new LoopbackCluster({
     controllers: Number(options.controllers),
-    machines,
+    machineCapacity: machines,
     timing: TIMING,
     folder: out,
     random,
@@ -56,7 +56,7 @@
     submitNext();
   });
   await new Promise<void>((resolve) => systemClock.setTimer(Number(options.seconds) * 1000, resolve));
-  process.stdout.write(`${cluster.cloud.hosts.size} machines, ${cluster.rules.startCount} task starts\n`);
+  process.stdout.write(`${cluster.cloud.machines.size} machines, ${cluster.rules.startCount} task starts\n`);
   await cluster.stop('SIGTERM');
   process.exit(0);
 }
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpResponse } from '../http/message.js';
-import type { SimWorker, WorkerMachine } from './workers.js';
+import type { SimulatedWorker, WorkerMachine } from './simulated-worker.js';
 
 /** A machine that the cloud has rented out. */
 interface RentedMachine extends WorkerMachine {
   createdMs: number;
   /** Undefined while the machine boots. */
-  worker: SimWorker | undefined;
+  worker: SimulatedWorker | undefined;
 }
 
 const jsonResponse = (status: number, body: unknown): HttpResponse => ({
@@ -15,13 +15,13 @@
 });
 
 /** Simulated cloud provider, written from the protocol of the real one. */
-export class SimCloud {
+export class SimulatedCloud {
   /** The machines that exist now, by name. */
-  readonly hosts = new Map<string, RentedMachine>();
+  readonly machines = new Map<string, RentedMachine>();
   private readonly namesByRequest = new Map<string, string[]>();
   private createdCount = 0;
   /** If true, every request gets a 503. */
-  down = false;
+  isDown = false;
   /** Number of requests to return machines that were already gone. */
   repeatedReturns = 0;
 
@@ -37,29 +37,29 @@
     private readonly zones: string[],
     /** The most machines that can be rented at the same time. */
     public capacity: number,
-    private readonly startWorker: (machine: WorkerMachine) => SimWorker,
+    private readonly startWorker: (machine: WorkerMachine) => SimulatedWorker,
   ) {}
 
   /** Number of machines rented so far, including those that are gone. */
-  get rented(): number {
+  get rentedCount(): number {
     return this.createdCount;
   }
 
   /** Terminates a machine and everything that runs on it. */
-  take(name: string): void {
-    this.hosts.get(name)?.worker?.kill();
-    this.hosts.delete(name);
+  terminate(name: string): void {
+    this.machines.get(name)?.worker?.kill();
+    this.machines.delete(name);
   }
 
   /** Answers one HTTP request of a controller. */
   async handle(_from: string, _method: string, target: string, body: string | undefined) {
-    if (this.down) return jsonResponse(503, { error: 'trouble' });
+    if (this.isDown) return jsonResponse(503, { error: 'trouble' });
     const path = target.split('?')[0];
     if (path === '/catalog') return this.getCatalog();
     if (path === '/hosts/return') {
       for (const name of (JSON.parse(body ?? '') as { hearths: string[] }).hearths) {
-        if (!this.hosts.has(name)) this.repeatedReturns++;
-        this.take(name);
+        if (!this.machines.has(name)) this.repeatedReturns++;
+        this.terminate(name);
       }
       return jsonResponse(200, {});
     }
@@ -84,8 +84,8 @@
   private listMachines(query: string): HttpResponse {
     const parameters = new URLSearchParams(query);
     const since = parameters.get('since') ?? '';
-    const pageSize = Number(parameters.get('page') ?? this.hosts.size);
-    const remainingHosts = [...this.hosts.values()].filter(({ name }) => name > since);
+    const pageSize = Number(parameters.get('page') ?? this.machines.size);
+    const remainingHosts = [...this.machines.values()].filter(({ name }) => name > since);
     const hearths = remainingHosts.slice(0, pageSize).map((host) => ({
       uid: host.name,
       address: `${host.name}:1`,
@@ -108,7 +108,7 @@
     const knownNames = this.namesByRequest.get(request.ask);
     if (knownNames) return jsonResponse(200, { hearths: knownNames });
     const names: string[] = [];
-    while (names.length < request.howMany && this.hosts.size < this.capacity) {
+    while (names.length < request.howMany && this.machines.size < this.capacity) {
       const name = `vm-${String(this.createdCount++).padStart(6, '0')}`;
       const host: RentedMachine = {
         name,
@@ -118,10 +118,10 @@
         createdMs: this.clock.steadyMs(),
         worker: undefined,
       };
-      this.hosts.set(name, host);
+      this.machines.set(name, host);
       const bootS = this.instanceTypes.find((instanceType) => instanceType.sku === request.build)!.bootS;
       this.clock.setTimer(bootS * 1000, () => {
-        if (this.hosts.get(name) === host) host.worker = this.startWorker(host);
+        if (this.machines.get(name) === host) host.worker = this.startWorker(host);
       });
       names.push(name);
     }
--- a/src/simulation/loopback-cluster.ts
+++ b/src/simulation/loopback-cluster.ts
@@ -3,13 +3,13 @@
 import { join } from 'node:path';
 import { pino } from 'pino';
 import { parse } from 'smol-toml';
-import { SimCloud } from './cloud.js';
+import { SimulatedCloud } from './cloud.js';
 import { backgroundClock, findFreePorts, LoopbackNetwork, WORKER_PORT } from './loopback-network.js';
 import { LoopbackUsers } from './loopback-users.js';
-import type { SimHandler } from './network.js';
-import { RuleChecker } from './rules.js';
-import { SimStateService } from './state-service.js';
-import { SimWorker } from './workers.js';
+import type { SimulatedHandler } from './network.js';
+import { RuleChecker } from './rule-checker.js';
+import { SimulatedStateService } from './state-service.js';
+import { SimulatedWorker } from './simulated-worker.js';
 
 const ZONES = ['east', 'west'];
 const MACHINE_CPUS = 4;
@@ -20,12 +20,12 @@
 export interface LoopbackClusterOptions {
   controllers: number;
   /** The most machines that the cloud rents out at the same time. */
-  machines: number;
+  machineCapacity: number;
   timing: { reportS: number; leaseS: number; cancelS: number; bootS: number };
   /** Folder for the settings and logs of the processes. */
   folder: string;
   /** Operator settings of every controller. Without it, controllers start without an operator file. */
-  operator?: unknown;
+  operatorSettings?: unknown;
   /** Returns the node flags of a controller, in addition to those of the deploy file. */
   nodeFlags?: (member: string) => string[];
   /** Returns additional environment variables of a controller. */
@@ -46,12 +46,12 @@
 
 /** Real controller processes on loopback, with a simulated state service, cloud and workers. */
 export class LoopbackCluster {
-  readonly state: SimStateService;
-  readonly cloud: SimCloud;
+  readonly state: SimulatedStateService;
+  readonly cloud: SimulatedCloud;
   readonly rules: RuleChecker;
   readonly members: readonly string[];
   /** Members whose requests the state service leaves unanswered. */
-  readonly cutFromState = new Set<string>();
+  readonly isolatedFromState = new Set<string>();
   /** Members whose requests the cloud leaves unanswered. */
   readonly isolatedFromCloud = new Set<string>();
   private readonly log = pino({ level: 'warn' });
@@ -65,10 +65,10 @@
   private addressBlock = 0;
 
   constructor(private readonly options: LoopbackClusterOptions) {
-    const { controllers, machines, timing, random } = options;
+    const { controllers, machineCapacity, timing, random } = options;
     this.members = Array.from({ length: controllers }, (_, i) => `controller-${i}`);
-    this.state = new SimStateService(backgroundClock, random);
-    const teamCpuLimits = new Map([['blue', machines * MACHINE_CPUS]]);
+    this.state = new SimulatedStateService(backgroundClock, random);
+    const teamCpuLimits = new Map([['blue', machineCapacity * MACHINE_CPUS]]);
     this.rules = new RuleChecker(
       () => backgroundClock.steadyMs(),
       teamCpuLimits,
@@ -76,7 +76,7 @@
       COMMAND_TRANSIT_S,
     );
     const instanceType = { sku: 'm4', cpus: MACHINE_CPUS, memGb: 16, bootS: timing.bootS, price: 0.2 };
-    this.cloud = new SimCloud(backgroundClock, [instanceType], ZONES, machines, (machine) =>
+    this.cloud = new SimulatedCloud(backgroundClock, [instanceType], ZONES, machineCapacity, (machine) =>
       this.startWorker(machine),
     );
   }
@@ -86,7 +86,7 @@
    * requests.
    */
   async start(
-    wrap: (service: 'state' | 'cloud', handler: SimHandler) => SimHandler = (_, serviceHandler) =>
+    wrap: (service: 'state' | 'cloud', handler: SimulatedHandler) => SimulatedHandler = (_, serviceHandler) =>
       serviceHandler,
   ): Promise<void> {
     mkdirSync(this.options.folder, { recursive: true });
@@ -106,7 +106,7 @@
       await this.network.attach(
         'state',
         controllerAddresses.state,
-        ignoreCallers(this.cutFromState, state),
+        ignoreCallers(this.isolatedFromState, state),
         member,
       );
       await this.network.attach(
@@ -143,13 +143,13 @@
 
   /** Writes the settings of a controller and starts its process. */
   startController(member: string): void {
-    const { folder, operator, nodeFlags, environment } = this.options;
+    const { folder, operatorSettings, nodeFlags, environment } = this.options;
     const file = join(folder, `${member}.toml`);
     writeFileSync(file, this.formatSettings(member));
     const operatorFile = join(folder, 'operator.json');
-    if (operator !== undefined) writeFileSync(operatorFile, JSON.stringify(operator));
+    if (operatorSettings !== undefined) writeFileSync(operatorFile, JSON.stringify(operatorSettings));
     const flags = [...readDeployFlags(), ...(nodeFlags?.(member) ?? [])];
-    const operatorArgs = operator === undefined ? [] : ['--operator', operatorFile];
+    const operatorArgs = operatorSettings === undefined ? [] : ['--operator', operatorFile];
     const child = spawn(process.execPath, [...flags, 'target/main.cjs', '--config', file, ...operatorArgs], {
       stdio: ['ignore', 'ignore', openSync(join(folder, `${member}.log`), 'a')],
       env: { ...process.env, LOG_LEVEL: 'info', ...environment?.(member) },
@@ -172,7 +172,7 @@
     this.network.close();
   }
 
-  private startWorker(machine: ConstructorParameters<typeof SimWorker>[0]): SimWorker {
+  private startWorker(machine: ConstructorParameters<typeof SimulatedWorker>[0]): SimulatedWorker {
     this.workerCount++;
     const { reportS, leaseS } = this.options.timing;
     const controllers = [...this.addresses].map(([member, { user }]) => ({ member, address: user }));
@@ -181,11 +181,11 @@
     const { network, rules, finishedTasks } = this;
     const { random } = this.options;
     const networkPort = {
-      attach: (host: string, address: string, handler: SimHandler) =>
+      attach: (host: string, address: string, handler: SimulatedHandler) =>
         void network.attach(host, address, handler),
       createCaller: () => network.createCaller(),
     };
-    return new SimWorker(
+    return new SimulatedWorker(
       { ...machine, address },
       controllers,
       timing,
@@ -199,7 +199,7 @@
 
   private formatSettings(member: string): string {
     const addresses = this.addresses.get(member)!;
-    const { controllers, machines, timing } = this.options;
+    const { controllers, machineCapacity, timing } = this.options;
     const getZone = (name: string): string => ZONES[this.members.indexOf(name) % 2]!;
     const seeds = this.members
       .filter((other) => other !== member)
@@ -221,8 +221,8 @@
 clock_error_ms = 100.0
 [[deployment.teams]]
 name = "blue"
-cpus = ${(machines * MACHINE_CPUS) / 2}.0
-cpus_max = ${machines * MACHINE_CPUS}.0
+cpus = ${(machineCapacity * MACHINE_CPUS) / 2}.0
+cpus_max = ${machineCapacity * MACHINE_CPUS}.0
 gpus = 0.0
 gpus_max = 0.0
 [deployment.workers]
@@ -240,14 +240,14 @@
 [deployment.quota]
 core_share = 0.2
 mem_mb = 250.0
-max_connections = ${Math.max(900, Math.ceil(machines * 1.6))}
+max_connections = ${Math.max(900, Math.ceil(machineCapacity * 1.6))}
 `;
   }
 }
 
 /** Returns a handler that never answers the callers in `ignored`. */
 const ignoreCallers =
-  (ignored: ReadonlySet<string>, handler: SimHandler): SimHandler =>
+  (ignored: ReadonlySet<string>, handler: SimulatedHandler): SimulatedHandler =>
   (from, ...request) =>
     ignored.has(from) ? Promise.resolve(undefined) : handler(from, ...request);
 
--- a/src/simulation/loopback-network.ts
+++ b/src/simulation/loopback-network.ts
@@ -4,7 +4,7 @@
 import { SocketHttpClient } from '../http/client.js';
 import type { HttpClient } from '../http/message.js';
 import { startHttpServer } from '../http/server.js';
-import type { SimHandler } from './network.js';
+import type { SimulatedHandler } from './network.js';
 
 /** The clock of the simulated services. Its pending timers do not keep a process from exiting. */
 export const backgroundClock: Clock = {
@@ -37,7 +37,7 @@
    * Serves HTTP at the address. The handler gets `caller` as the sender of every request. Empty if the sender is
    * unknown.
    */
-  async attach(_host: string, address: string, handler: SimHandler, caller = ''): Promise<void> {
+  async attach(_host: string, address: string, handler: SimulatedHandler, caller = ''): Promise<void> {
     const server = await startHttpServer(
       address,
       MAX_SERVICE_CONNECTIONS,
--- a/src/simulation/loopback-users.ts
+++ b/src/simulation/loopback-users.ts
@@ -1,6 +1,6 @@
 import { SocketHttpClient } from '../http/client.js';
 import { backgroundClock } from './loopback-network.js';
-import type { SimJob, RuleChecker } from './rules.js';
+import type { SimulatedJob, RuleChecker } from './rule-checker.js';
 
 const POLL_INTERVAL_MS = 5_000;
 const RETRY_DELAY_MS = 1_000;
@@ -18,11 +18,11 @@
   ) {}
 
   /** Submits a job, retries until it is accepted, and polls it from then on. Returns its uid. */
-  submit(kind: SimJob['kind'], tasks: number, runS: number): string {
+  submit(kind: SimulatedJob['kind'], tasks: number, runS: number): string {
     const uid = `job-${String(this.jobCount++).padStart(6, '0')}`;
     this.rules.trackJob({
-      ...{ uid, team: 'blue', kind, tasks, cpus: 2, spot: true, scatter: false, oneZone: false },
-      ...{ zone: null, runS, dueS: null, dependencies: [] },
+      ...{ uid, team: 'blue', kind, tasks, cpus: 2, spot: true, zoneSpread: false, singleZone: false },
+      ...{ zone: null, runS, deadlineS: null, dependencies: [] },
     });
     const isService = kind === 'service';
     const body = {
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -5,7 +5,7 @@
 import { NO_OBSERVER, type ObservedRequest, type TrafficObserver } from './traffic-observer.js';
 
 /** Handles a request that arrives at a simulated host. Resolves to undefined if the caller gets no answer. */
-export type SimHandler = (
+export type SimulatedHandler = (
   from: string,
   method: string,
   target: string,
@@ -22,8 +22,8 @@
 const formatLink = (from: string, to: string): string => `${from} > ${to}`;
 
 /** Carries messages between named hosts. A partition holds messages back and delivers them in order when it heals. */
-export class SimNetwork {
-  private readonly handlers = new Map<string, SimHandler>();
+export class SimulatedNetwork {
+  private readonly handlers = new Map<string, SimulatedHandler>();
   /** Active partitions, by the sender and receiver of the link. */
   private readonly partitions = new Map<string, Partition>();
   private readonly zonesByHost = new Map<string, string>();
@@ -48,7 +48,7 @@
   ) {}
 
   /** Registers the handler of a host and the address at which it is reached. */
-  attach(host: string, address: string, handler: SimHandler): void {
+  attach(host: string, address: string, handler: SimulatedHandler): void {
     this.handlers.set(host, handler);
     this.hostsByAddress.set(address, host);
   }
@@ -113,7 +113,7 @@
   }
 
   /** Partitions all zones from each other. Hosts without a zone stay reachable. */
-  cutZones(): void {
+  partitionZones(): void {
     this.areZonesPartitioned = true;
   }
 
@@ -217,12 +217,12 @@
 }
 
 /** Carries messages between controllers over the simulated network. */
-export class SimPeerNetwork {
+export class SimulatedPeerNetwork {
   private readonly listeners = new Map<string, (member: string, message: PeerMessage) => void>();
   /** Controllers that send only what the version without forwarding of cancellations sends. */
-  readonly former = new Set<string>();
+  readonly formerVersionMembers = new Set<string>();
 
-  constructor(private readonly network: SimNetwork) {}
+  constructor(private readonly network: SimulatedNetwork) {}
 
   /** Creates the transport of a controller's process. */
   createTransport(member: string, isAlive: () => boolean): PeerTransport {
@@ -232,7 +232,7 @@
     });
     return {
       send: (to, message) => {
-        const sent = this.former.has(member) ? toFormerVersion(message) : message;
+        const sent = this.formerVersionMembers.has(member) ? toFormerVersion(message) : message;
         if (isAlive() && sent) {
           this.network.observer.peerMessageSent(member, to, sent);
           this.network.deliver(member, to, () => this.listeners.get(to)?.(member, sent));
--- a/src/simulation/duty-log.ts
+++ b/src/simulation/role-action-log.ts
@@ -8,16 +8,16 @@
   type Intent,
 } from '@pumicehinge/duties';
 import type { HttpResponse } from '../http/message.js';
-import type { SimCloud } from './cloud.js';
-import type { SimHandler } from './network.js';
-import type { SimStateService } from './state-service.js';
+import type { SimulatedCloud } from './cloud.js';
+import type { SimulatedHandler } from './network.js';
+import type { SimulatedStateService } from './state-service.js';
 
 const TOKEN_KEY_PREFIX = 'ph/duty-token/';
 
 /** One action of a leased role, as a simulated service received it. */
-export interface DutyAction {
+export interface RoleAction {
   receivedMs: number;
-  duty: Role;
+  role: Role;
   sender: string;
   /** The member that held the role when the action arrived. */
   holder: string | undefined;
@@ -26,17 +26,17 @@
   /** `record` if a write was accepted, `effect` if machines were rented or returned, `none` if nothing changed. */
   result: 'record' | 'effect' | 'none';
   /** Whether a committed intent for this action was stored before it arrived. */
-  isCovered: boolean;
+  hasCommittedIntent: boolean;
 }
 
 /** Summary of the actions that arrived from members that did not hold the role. */
-export interface StaleSummary {
+export interface StaleActionSummary {
   /** Stale actions that were wrongly accepted: stored writes, and effects for which no committed intent is stored. */
-  accepted: DutyAction[];
+  acceptedActions: RoleAction[];
   /** Number of stale calls that changed nothing. */
-  withoutEffect: number;
+  ineffectiveCallCount: number;
   /** Number of stale calls that were the first to carry out a committed intent. */
-  asRecorded: number;
+  committedEffectCount: number;
 }
 
 /** The part of a transaction's body that holds its operations. */
@@ -47,23 +47,23 @@
 /**
  * Logs what the simulated state service and cloud receive from holders of leased roles, and who held the role then.
  */
-export class DutyLog {
+export class RoleActionLog {
   /** All actions received so far. */
-  readonly actions: DutyAction[] = [];
+  readonly actions: RoleAction[] = [];
   /** Fencing tokens that did not increase, and request names that were used for two intents. */
-  readonly faults: string[] = [];
+  readonly violations: string[] = [];
   private readonly latestTokens = new Map<string, number>();
   private readonly intentKeysByRequestName = new Map<string, string>();
   private readonly committedIntents = new Map<string, Intent>();
 
   constructor(
-    private readonly state: SimStateService,
-    private readonly cloud: SimCloud,
+    private readonly state: SimulatedStateService,
+    private readonly cloud: SimulatedCloud,
     private readonly nowMs: () => number,
   ) {}
 
   /** Returns a handler that logs each request of the service and then passes it on. */
-  wrap(service: 'state' | 'cloud', handler: SimHandler): SimHandler {
+  wrap(service: 'state' | 'cloud', handler: SimulatedHandler): SimulatedHandler {
     return (from, method, target, body) => {
       if (service === 'state' && target === '/multi' && body !== undefined)
         return this.observeTransaction(from, body, () => handler(from, method, target, body));
@@ -74,29 +74,32 @@
   }
 
   /** The member that holds the role. Undefined if nobody does. */
-  holderOf(role: Role): string | undefined {
-    return decodeHolder(this.state.peek(roleHolderKey(role)))?.member;
+  getHolder(role: Role): string | undefined {
+    return decodeHolder(this.state.getValue(roleHolderKey(role)))?.member;
   }
 
   /** The fencing token of the role's holder. Undefined if nobody holds the role. */
   getFencingToken(role: Role): number | undefined {
-    return decodeHolder(this.state.peek(roleHolderKey(role)))?.fencingToken;
+    return decodeHolder(this.state.getValue(roleHolderKey(role)))?.fencingToken;
   }
 
   /** The holder of each role, in the order of ROLES. */
-  holders(): (string | undefined)[] {
-    return ROLES.map((role) => this.holderOf(role));
+  getHolders(): (string | undefined)[] {
+    return ROLES.map((role) => this.getHolder(role));
   }
 
   /** Summarizes the actions whose sender did not hold the role when they arrived. */
-  stale(): StaleSummary {
+  summarizeStaleActions(): StaleActionSummary {
     const stale = this.actions.filter(({ sender, holder }) => sender !== holder);
     return {
-      accepted: stale.filter(
-        ({ result, isCovered }) => result === 'record' || (result === 'effect' && !isCovered),
+      acceptedActions: stale.filter(
+        ({ result, hasCommittedIntent }) =>
+          result === 'record' || (result === 'effect' && !hasCommittedIntent),
       ),
-      withoutEffect: stale.filter(({ result }) => result === 'none').length,
-      asRecorded: stale.filter(({ result, isCovered }) => result === 'effect' && isCovered).length,
+      ineffectiveCallCount: stale.filter(({ result }) => result === 'none').length,
+      committedEffectCount: stale.filter(
+        ({ result, hasCommittedIntent }) => result === 'effect' && hasCommittedIntent,
+      ).length,
     };
   }
 
@@ -105,7 +108,7 @@
     body: string,
     execute: () => Promise<HttpResponse | undefined>,
   ): Promise<HttpResponse | undefined> {
-    const holders = new Map(ROLES.map((role) => [role, this.holderOf(role)]));
+    const holders = new Map(ROLES.map((role) => [role, this.getHolder(role)]));
     const receivedMs = this.nowMs();
     const response = await execute();
     if (response?.status !== 200) return response;
@@ -123,12 +126,12 @@
       this.actions.push({
         ...{
           receivedMs,
-          duty: role,
+          role,
           sender,
           subject,
           holder: holders.get(role),
           result: 'record',
-          isCovered: false,
+          hasCommittedIntent: false,
         },
       });
     }
@@ -138,13 +141,14 @@
   private checkTokenAndRequestName(key: string, value: unknown): void {
     if (key.startsWith(TOKEN_KEY_PREFIX)) {
       const token = (value as { token: number }).token;
-      if (token <= (this.latestTokens.get(key) ?? 0)) this.faults.push(`${key} did not increase: ${token}`);
+      if (token <= (this.latestTokens.get(key) ?? 0))
+        this.violations.push(`${key} did not increase: ${token}`);
       this.latestTokens.set(key, token);
     }
     const intent = decodeIntent(key, value);
     if (intent?.role !== 'rent') return;
     if ((this.intentKeysByRequestName.get(intent.requestName) ?? key) !== key)
-      this.faults.push(`request name ${intent.requestName} was used for two intents`);
+      this.violations.push(`request name ${intent.requestName} was used for two intents`);
     this.intentKeysByRequestName.set(intent.requestName, key);
   }
 
@@ -161,22 +165,22 @@
         : request.hearths?.every((name) => intent.nodeNames.includes(name)) === true;
     const committedIntent = [...this.committedIntents.values()].find(isIntentOfRequest);
     const role = committedIntent?.role ?? (target === '/hosts' ? 'rent' : 'return');
-    const holder = this.holderOf(role);
+    const holder = this.getHolder(role);
     const receivedMs = this.nowMs();
-    const countsBefore = { rented: this.cloud.rented, hosts: this.cloud.hosts.size };
+    const countsBefore = { rented: this.cloud.rentedCount, hosts: this.cloud.machines.size };
     const response = await execute();
     const hasChangedMachines =
-      this.cloud.rented !== countsBefore.rented || this.cloud.hosts.size < countsBefore.hosts;
+      this.cloud.rentedCount !== countsBefore.rented || this.cloud.machines.size < countsBefore.hosts;
     this.actions.push({
       ...{
         receivedMs,
-        duty: role,
+        role,
         sender,
         holder,
         subject: request.ask ?? (request.hearths ?? []).join(' '),
       },
       result: hasChangedMachines ? 'effect' : 'none',
-      isCovered: committedIntent !== undefined,
+      hasCommittedIntent: committedIntent !== undefined,
     });
     return response;
   }
@@ -186,7 +190,7 @@
  * Removes the fencing conditions from a transaction, which are those on the revisions of the keys of leased roles.
  * Conditions that a key must not exist are kept.
  */
-export function withoutFences(body: string): string {
+export function removeFencingConditions(body: string): string {
   const transaction = JSON.parse(body) as { if?: { key: string; stamp: number }[] };
   const keptConditions = (transaction.if ?? []).filter(
     ({ key, stamp }) => stamp === 0 || !key.startsWith('ph/duty-'),
--- a/src/simulation/rules.ts
+++ b/src/simulation/rule-checker.ts
@@ -1,31 +1,31 @@
 /** A job as its user describes it. */
-export interface SimJob {
+export interface SimulatedJob {
   uid: string;
   team: string;
   kind: 'array' | 'service';
   tasks: number;
   cpus: number;
   spot: boolean;
-  scatter: boolean;
-  oneZone: boolean;
+  zoneSpread: boolean;
+  singleZone: boolean;
   /** The only zone in which tasks may run. Null if any zone is allowed. */
   zone: string | null;
   runS: number;
   /** Seconds after its acceptance by which the job is due. Null if it has no deadline. */
-  dueS: number | null;
+  deadlineS: number | null;
   /** Jobs that must be done before any task of this job starts. */
   dependencies: string[];
 }
 
 /** What users were told about a job, and what its tasks did. */
 interface TrackedJob {
-  job: SimJob;
-  accepted: boolean;
+  job: SimulatedJob;
+  isAccepted: boolean;
   /** The final phase that its user was told. It stays `open` until then. */
-  told: 'open' | 'done' | 'withdrawn';
+  reportedPhase: 'open' | 'done' | 'withdrawn';
   isCancelRequested: boolean;
   cancelConfirmedMs: number;
-  done: Set<number>;
+  completedTasks: Set<number>;
   submittedMs: number;
   /** When the first of its tasks started. Infinity if none has. */
   firstStartMs: number;
@@ -43,14 +43,14 @@
  */
 export class RuleChecker {
   /** One line for each violation, with the time in seconds and the name of the rule. */
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   readonly jobs = new Map<string, TrackedJob>();
   /** Called with the uid of a job when its last task completes. */
   readonly completionListeners: ((uid: string) => void)[] = [];
   /** Number of task starts. */
   startCount = 0;
   /** Task starts so long after a confirmed cancellation that the start command must have been given after it. */
-  readonly startedCancelled: string[] = [];
+  readonly startsAfterCancellation: string[] = [];
   /** Number of starts of tasks that had started before. */
   restartCount = 0;
   private readonly startedTasks = new Set<string>();
@@ -68,14 +68,14 @@
   ) {}
 
   /** Registers a job. This must happen before any other event of the job is recorded. */
-  trackJob(job: SimJob): void {
+  trackJob(job: SimulatedJob): void {
     this.jobs.set(job.uid, {
       job,
-      accepted: false,
-      told: 'open',
+      isAccepted: false,
+      reportedPhase: 'open',
       isCancelRequested: false,
       cancelConfirmedMs: Infinity,
-      done: new Set(),
+      completedTasks: new Set(),
       submittedMs: this.nowMs(),
       firstStartMs: Infinity,
       waitingSinceMs: Infinity,
@@ -101,14 +101,14 @@
     const runsInOtherZone = [...tracked.runningTasks.values()].some(
       (running) => running.zone !== machine.zone,
     );
-    if ((job.oneZone && runsInOtherZone) || (job.zone !== null && job.zone !== machine.zone))
+    if ((job.singleZone && runsInOtherZone) || (job.zone !== null && job.zone !== machine.zone))
       this.recordViolation(`wrong_place: ${uid}/${task} in ${machine.zone}`);
-    if (job.scatter && this.countRunningInZone(tracked, machine.zone) + 1 > Math.ceil(job.tasks / 2))
+    if (job.zoneSpread && this.countRunningInZone(tracked, machine.zone) + 1 > Math.ceil(job.tasks / 2))
       this.recordViolation(`wrong_place: too many tasks of ${uid} in ${machine.zone}`);
     if (this.nowMs() > tracked.cancelConfirmedMs + this.cancelDeadlineS * 1000)
       this.recordViolation(`ran_cancelled: ${uid}/${task} starts`);
     else if (this.nowMs() > tracked.cancelConfirmedMs + this.commandTransitS * 1000)
-      this.startedCancelled.push(`${(this.nowMs() / 1000).toFixed(3)} ${uid}/${task}`);
+      this.startsAfterCancellation.push(`${(this.nowMs() / 1000).toFixed(3)} ${uid}/${task}`);
     tracked.runningTasks.set(task, machine);
     tracked.firstStartMs = Math.min(tracked.firstStartMs, this.nowMs());
     let usedCpus = 0;
@@ -134,7 +134,7 @@
 
   private isDone(uid: string): boolean {
     const tracked = this.jobs.get(uid)!;
-    return tracked.done.size === tracked.job.tasks;
+    return tracked.completedTasks.size === tracked.job.tasks;
   }
 
   /** When a user was first told that the job, or one that it depends on, is cancelled. Infinity if never. */
@@ -151,17 +151,17 @@
   recordTaskEnd(uid: string, task: number, node: string, isCompleted: boolean): void {
     const tracked = this.jobs.get(uid)!;
     if (tracked.runningTasks.get(task)?.node === node) tracked.runningTasks.delete(task);
-    if (!isCompleted || tracked.done.has(task)) return;
-    tracked.done.add(task);
-    if (tracked.done.size === tracked.job.tasks)
+    if (!isCompleted || tracked.completedTasks.has(task)) return;
+    tracked.completedTasks.add(task);
+    if (tracked.completedTasks.size === tracked.job.tasks)
       for (const listener of this.completionListeners) listener(uid);
   }
 
   /** Records the status of a response to a submission. */
   recordSubmissionResponse(uid: string, status: number): void {
     const tracked = this.jobs.get(uid)!;
-    if (status === 200 || status === 201) tracked.accepted = true;
-    else if (tracked.accepted && (status === 400 || status === 422))
+    if (status === 200 || status === 201) tracked.isAccepted = true;
+    else if (tracked.isAccepted && (status === 400 || status === 422))
       this.recordViolation(`forgotten: ${uid} got ${status}`);
   }
 
@@ -172,11 +172,11 @@
       if (status === 200) this.recordViolation(`invented: ${uid} was never submitted`);
       return;
     }
-    if (status === 404 && tracked.accepted) this.recordViolation(`forgotten: ${uid} got 404`);
+    if (status === 404 && tracked.isAccepted) this.recordViolation(`forgotten: ${uid} got 404`);
     if (status !== 200) return;
     tracked.lastAnswerMs = this.nowMs();
-    if (tracked.told !== 'open' && phase !== tracked.told)
-      this.recordViolation(`went_back: ${uid} ${tracked.told} to ${phase}`);
+    if (tracked.reportedPhase !== 'open' && phase !== tracked.reportedPhase)
+      this.recordViolation(`went_back: ${uid} ${tracked.reportedPhase} to ${phase}`);
     if (
       (phase === 'pending' || phase === 'running') &&
       this.nowMs() > this.cancelConfirmedMs(uid) + this.cancelDeadlineS * 1000
@@ -185,13 +185,13 @@
     if (phase === 'withdrawn' && !this.isCancelRequested(uid))
       this.recordViolation(`went_back: ${uid} withdrawn without a cancel request`);
     if (phase === 'done') {
-      if (tracked.done.size < tracked.job.tasks)
-        this.recordViolation(`not_done: ${uid} has ${tracked.done.size} completed tasks`);
-      tracked.told = 'done';
+      if (tracked.completedTasks.size < tracked.job.tasks)
+        this.recordViolation(`not_done: ${uid} has ${tracked.completedTasks.size} completed tasks`);
+      tracked.reportedPhase = 'done';
     }
     if (phase === 'withdrawn') {
-      if (tracked.told === 'open') tracked.cancelConfirmedMs = this.nowMs();
-      tracked.told = 'withdrawn';
+      if (tracked.reportedPhase === 'open') tracked.cancelConfirmedMs = this.nowMs();
+      tracked.reportedPhase = 'withdrawn';
     }
   }
 
@@ -210,7 +210,7 @@
       if (isServed) counts.servedCount++;
     };
     const expectedJobs = [...this.jobs.values()].filter(
-      (tracked) => tracked.accepted && tracked.told !== 'withdrawn',
+      (tracked) => tracked.isAccepted && tracked.reportedPhase !== 'withdrawn',
     );
     for (const tracked of expectedJobs) {
       const { uid, kind, team, tasks } = tracked.job;
@@ -219,7 +219,7 @@
         this.recordViolation(`forgotten: ${uid} not answered for ${unansweredMs} ms`);
       // Jobs that were submitted within the last minute need not be served yet.
       if (nowMs - tracked.submittedMs < 60_000) continue;
-      const isServed = kind === 'service' ? tracked.runningTasks.size > 0 : tracked.told === 'done';
+      const isServed = kind === 'service' ? tracked.runningTasks.size > 0 : tracked.reportedPhase === 'done';
       countJob(kind, isServed);
       countJob(team, isServed);
       const mostTasks = Math.max(
@@ -267,21 +267,21 @@
       const remainingTasks =
         job.kind === 'service'
           ? job.tasks - tracked.runningTasks.size
-          : job.tasks - tracked.done.size - tracked.runningTasks.size;
+          : job.tasks - tracked.completedTasks.size - tracked.runningTasks.size;
       const hasFittingMachine = machines.some(
         (machine) =>
           machine.cpus - (usedCpusByMachine.get(machine.name) ?? 0) >= job.cpus &&
           (job.spot || !machine.spot) &&
           (job.zone ?? machine.zone) === machine.zone &&
-          !(job.oneZone && tracked.runningTasks.size > this.countRunningInZone(tracked, machine.zone)) &&
-          !(job.scatter && this.countRunningInZone(tracked, machine.zone) >= Math.ceil(job.tasks / 2)),
+          !(job.singleZone && tracked.runningTasks.size > this.countRunningInZone(tracked, machine.zone)) &&
+          !(job.zoneSpread && this.countRunningInZone(tracked, machine.zone) >= Math.ceil(job.tasks / 2)),
       );
       const hasDependenciesDone = job.dependencies.every((dependency) => this.isDone(dependency));
       const isUnderTeamLimit =
         (usedCpusByTeam.get(job.team) ?? 0) + job.cpus <= (this.teamCpuLimits.get(job.team) ?? 0);
       const isWaiting =
-        tracked.accepted &&
-        tracked.told === 'open' &&
+        tracked.isAccepted &&
+        tracked.reportedPhase === 'open' &&
         remainingTasks > 0 &&
         hasDependenciesDone &&
         hasFittingMachine &&
@@ -300,6 +300,6 @@
   }
 
   private recordViolation(description: string): void {
-    this.broken.push(`${(this.nowMs() / 1000).toFixed(3)} ${description}`);
+    this.violations.push(`${(this.nowMs() / 1000).toFixed(3)} ${description}`);
   }
 }
--- a/src/simulation/day.ts
+++ b/src/simulation/simulated-deployment.ts
@@ -6,12 +6,12 @@
 import type { Settings } from '../settings.js';
 import { divideSockets } from '../sizing.js';
 import { ProcessClock, SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
-import { SimCloud } from './cloud.js';
-import { SimNetwork, SimPeerNetwork } from './network.js';
-import { RuleChecker, type SimJob } from './rules.js';
-import { SimStateService } from './state-service.js';
+import { SimulatedCloud } from './cloud.js';
+import { SimulatedNetwork, SimulatedPeerNetwork } from './network.js';
+import { RuleChecker, type SimulatedJob } from './rule-checker.js';
+import { SimulatedStateService } from './state-service.js';
 import type { TrafficObserver } from './traffic-observer.js';
-import { SimWorker } from './workers.js';
+import { SimulatedWorker } from './simulated-worker.js';
 
 const ZONES = ['east', 'west'];
 const REPORT_S = 1.5;
@@ -21,12 +21,12 @@
 const COMMAND_TRANSIT_S = 8;
 
 /** Options of a simulated deployment. */
-export interface DayOptions {
+export interface DeploymentOptions {
   controllers: number;
   /** The most machines that the cloud rents out at the same time. */
-  machines: number;
+  machineCapacity: number;
   /** Factor by which each team's CPU limits exceed those of a small deployment. */
-  scale: number;
+  cpuLimitScale: number;
   /** Zones in which the cloud has machines. Defaults to all zones. */
   machineZones?: string[];
   /** Seconds that a machine takes to boot. Defaults to 8. */
@@ -39,9 +39,9 @@
    * Controllers that take part in leased roles, and leave the work of a role to its holder when they lead. Defaults
    * to none.
    */
-  duties?: readonly string[];
+  roleMembers?: readonly string[];
   /** Limits of the state service that the settings announce. Default to those that the simulated service enforces. */
-  next?: { valueBytes: number; maxTransactionOperations: number };
+  announcedLimits?: { valueBytes: number; maxTransactionOperations: number };
   /** Creates an observer that receives every message. */
   createObserver?: (clock: SimulatedClock) => TrafficObserver;
 }
@@ -51,12 +51,12 @@
 const SMALL_RATES = { rps: 200, writesPerS: 80, cloudRps: 6 };
 
 /** A deployment of three controllers and few machines. */
-export const SMALL: DayOptions = { controllers: 3, machines: 24, scale: 1 };
+export const SMALL_DEPLOYMENT: DeploymentOptions = { controllers: 3, machineCapacity: 24, cpuLimitScale: 1 };
 
-const listMembers = (options: DayOptions): string[] =>
+const listMembers = (options: DeploymentOptions): string[] =>
   Array.from({ length: options.controllers }, (_, i) => `c${i}`);
 
-function createSettings(member: string, options: DayOptions): Settings {
+function createSettings(member: string, options: DeploymentOptions): Settings {
   const members = listMembers(options);
   const rates = options.rates ?? SMALL_RATES;
   const getZone = (name: string): string => ZONES[members.indexOf(name) % 2]!;
@@ -79,15 +79,15 @@
     teams: [
       {
         name: 'red',
-        guaranteedCpus: 8 * options.scale,
-        cpuLimit: 24 * options.scale,
+        guaranteedCpus: 8 * options.cpuLimitScale,
+        cpuLimit: 24 * options.cpuLimitScale,
         guaranteedAccelerators: 0,
         acceleratorLimit: 0,
       },
       {
         name: 'blue',
-        guaranteedCpus: 16 * options.scale,
-        cpuLimit: 40 * options.scale,
+        guaranteedCpus: 16 * options.cpuLimitScale,
+        cpuLimit: 40 * options.cpuLimitScale,
         guaranteedAccelerators: 0,
         acceleratorLimit: 0,
       },
@@ -100,7 +100,7 @@
     stateLimits: {
       requestsPerSecond: rates.rps,
       writesPerSecond: rates.writesPerS,
-      ...(options.next ?? { valueBytes: 8192, maxTransactionOperations: 12 }),
+      ...(options.announcedLimits ?? { valueBytes: 8192, maxTransactionOperations: 12 }),
     },
     cloudLimits: { rps: rates.cloudRps, maxListLagS: 0 },
     socketLimits: divideSockets(900),
@@ -108,71 +108,71 @@
     operator: {
       idleKeepS: 45,
       useSpot: true,
-      duties: { enabled: options.duties?.includes(member) ?? false },
+      duties: { enabled: options.roleMembers?.includes(member) ?? false },
     },
   };
 }
 
-const DEFAULT_JOB: Omit<SimJob, 'uid'> = {
+const DEFAULT_JOB: Omit<SimulatedJob, 'uid'> = {
   team: 'blue',
   kind: 'array',
   tasks: 4,
   cpus: 2,
   spot: false,
-  scatter: false,
-  oneZone: false,
+  zoneSpread: false,
+  singleZone: false,
   zone: null,
   runS: 20,
-  dueS: null,
+  deadlineS: null,
   dependencies: [],
 };
 
 /**
  * A whole deployment in one process on simulated time: real controllers, and simulated services, workers and users.
  */
-export class SimDay {
+export class SimulatedDeployment {
   readonly clock = new SimulatedClock();
   readonly rules: RuleChecker;
-  readonly state: SimStateService;
-  readonly cloud: SimCloud;
-  readonly network: SimNetwork;
+  readonly state: SimulatedStateService;
+  readonly cloud: SimulatedCloud;
+  readonly network: SimulatedNetwork;
   readonly random: () => number;
-  readonly peers: SimPeerNetwork;
+  readonly peers: SimulatedPeerNetwork;
   private readonly processClocks = new Map<string, ProcessClock>();
   private readonly finishedTasks = new Set<string>();
   private readonly userCaller;
   private jobCount = 0;
 
   /** Time after which no fault is active. Jobs must not be left waiting after it. */
-  calmMs = Infinity;
+  faultsEndMs = Infinity;
 
   readonly members: string[];
 
   constructor(
     seed: number,
-    private readonly options: DayOptions = SMALL,
+    private readonly options: DeploymentOptions = SMALL_DEPLOYMENT,
   ) {
     this.members = listMembers(options);
     const generator = xoroshiro128plus(seed);
     this.random = () => uniformFloat64(generator);
-    this.network = new SimNetwork(this.clock, this.random, options.createObserver?.(this.clock));
-    this.peers = new SimPeerNetwork(this.network);
+    this.network = new SimulatedNetwork(this.clock, this.random, options.createObserver?.(this.clock));
+    this.peers = new SimulatedPeerNetwork(this.network);
     const teamCpuLimits = new Map(
       createSettings('c0', options).teams.map((team) => [team.name, team.cpuLimit]),
     );
     this.rules = new RuleChecker(() => this.clock.steadyMs(), teamCpuLimits, CANCEL_S, COMMAND_TRANSIT_S);
-    this.state = new SimStateService(this.clock, this.random);
+    this.state = new SimulatedStateService(this.clock, this.random);
     const controllers = this.members.map((member) => ({ member, address: `${member}:80` }));
     const timing = { reportS: this.options.reportS ?? REPORT_S, leaseS: LEASE_S, fetchS: 1 };
     this.members.forEach((member) => this.network.setZone(member, createSettings(member, options).zone));
-    this.cloud = new SimCloud(
+    this.cloud = new SimulatedCloud(
       this.clock,
       [{ ...MACHINE_TYPE, bootS: options.bootS ?? MACHINE_TYPE.bootS }],
       options.machineZones ?? ZONES,
-      options.machines,
+      options.machineCapacity,
       (machine) => {
         this.network.setZone(machine.name, machine.zone);
-        return new SimWorker(
+        return new SimulatedWorker(
           machine,
           controllers,
           timing,
@@ -190,7 +190,7 @@
     for (const member of this.members) this.startController(member);
     const check = (): void => {
       this.rules.checkCancelledTasks();
-      this.rules.checkWaitingJobs(this.calmMs, this.listRunningMachines());
+      this.rules.checkWaitingJobs(this.faultsEndMs, this.listRunningMachines());
       this.clock.setTimer(500, check);
     };
     check();
@@ -231,13 +231,13 @@
   }
 
   private listRunningMachines(): { name: string; zone: string; spot: boolean; cpus: number }[] {
-    return [...this.cloud.hosts.values()]
+    return [...this.cloud.machines.values()]
       .filter((host) => host.worker)
       .map(({ name, zone, spot }) => ({ name, zone, spot, cpus: MACHINE_TYPE.cpus }));
   }
 
   /** Kills a controller and starts it again after a delay. */
-  crash(member: string, restartDelayMs: number): void {
+  crashController(member: string, restartDelayMs: number): void {
     this.processClocks.get(member)!.kill();
     this.network.detach(member);
     this.clock.setTimer(restartDelayMs, () => this.startController(member));
@@ -247,7 +247,7 @@
    * Pauses a controller for a while. Its clocks run on. Messages that it sends in the last 40 ms before the pause
    * leave only afterwards, because a pause may fall between a check and the action that relies on it.
    */
-  freeze(member: string, durationMs: number): void {
+  pauseController(member: string, durationMs: number): void {
     this.network.holdOutbound(member);
     this.clock.setTimer(40, () => this.network.pauseHost(member));
     this.clock.setTimer(durationMs, () => this.network.resumeHost(member));
@@ -262,16 +262,16 @@
    * Submits a job and polls it from then on. If `cancelS` is given, cancels the job that many seconds after it was
    * accepted.
    */
-  submit(fields: Partial<SimJob>, cancelAfterS?: number): SimJob {
-    const job = this.expect(fields);
+  submit(fields: Partial<SimulatedJob>, cancelAfterS?: number): SimulatedJob {
+    const job = this.registerJob(fields);
     void this.simulateUser(job, cancelAfterS);
     return job;
   }
 
   /** Registers a job with the rule checker without submitting it. The test submits it. */
-  expect(fields: Partial<SimJob>): SimJob {
+  registerJob(fields: Partial<SimulatedJob>): SimulatedJob {
     const uid = `job-${String(++this.jobCount).padStart(6, '0')}`;
-    const job: SimJob = { uid, ...DEFAULT_JOB, ...fields };
+    const job: SimulatedJob = { uid, ...DEFAULT_JOB, ...fields };
     this.rules.trackJob(job);
     return job;
   }
@@ -291,8 +291,8 @@
   }
 
   /** Submits a job once more. */
-  async resubmit(job: SimJob): Promise<void> {
-    const response = await this.sendToRandomMember('POST', '/submissions', this.wireOf(job));
+  async resubmit(job: SimulatedJob): Promise<void> {
+    const response = await this.sendToRandomMember('POST', '/submissions', this.encodeSubmission(job));
     if (response) this.rules.recordSubmissionResponse(job.uid, response.status);
     this.recordStatus(job.uid, response);
   }
@@ -307,19 +307,19 @@
 
   /** The leader according to the state service. Undefined if there is none. */
   get leader(): string | undefined {
-    return (this.state.peek('ph/leader') as { member: string } | undefined)?.member;
+    return (this.state.getValue('ph/leader') as { member: string } | undefined)?.member;
   }
 
   /** Whether the user was told that the job is done or cancelled. */
-  isOver(job: SimJob): boolean {
-    return this.rules.jobs.get(job.uid)!.told !== 'open';
+  isFinished(job: SimulatedJob): boolean {
+    return this.rules.jobs.get(job.uid)!.reportedPhase !== 'open';
   }
 
   /**
    * Sends one request to a controller, as a user, a worker or the load balancer would. Undefined if it gets no
    * answer.
    */
-  async askOne(
+  async sendRequest(
     member: string,
     method: string,
     path: string,
@@ -339,15 +339,15 @@
     body?: unknown,
   ): Promise<HttpResponse | undefined> {
     const member = this.members[Math.floor(this.random() * this.members.length)]!;
-    return this.askOne(member, method, path, body);
+    return this.sendRequest(member, method, path, body);
   }
 
   private sleep(ms: number): Promise<void> {
     return new Promise((resolve) => this.clock.setTimer(ms, resolve));
   }
 
-  private async simulateUser(job: SimJob, cancelAfterS: number | undefined): Promise<void> {
-    const submission = this.wireOf(job);
+  private async simulateUser(job: SimulatedJob, cancelAfterS: number | undefined): Promise<void> {
+    const submission = this.encodeSubmission(job);
     for (;;) {
       const response = await this.sendToRandomMember('POST', '/submissions', submission);
       if (response) this.rules.recordSubmissionResponse(job.uid, response.status);
@@ -368,7 +368,7 @@
   }
 
   /** Encodes a job as the body of a submission. */
-  wireOf(fields: Partial<SimJob>): Record<string, unknown> {
+  encodeSubmission(fields: Partial<SimulatedJob>): Record<string, unknown> {
     const job = { ...DEFAULT_JOB, uid: '', ...fields };
     return {
       uid: job.uid,
@@ -382,15 +382,15 @@
       memGb: 4,
       builds: null,
       yard: job.zone,
-      oneZone: job.oneZone,
-      scatter: job.scatter,
+      oneZone: job.singleZone,
+      scatter: job.zoneSpread,
       loaner: job.spot,
       cast: 'img-1',
       sizeGb: 1,
       guessS: job.runS,
       pinS: 0,
       pinningS: 0,
-      dueS: job.dueS,
+      dueS: job.deadlineS,
       ...(job.dependencies.length > 0 ? { awaits: job.dependencies } : {}),
     };
   }
--- a/src/simulation/workers.ts
+++ b/src/simulation/simulated-worker.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpClient, HttpResponse } from '../http/message.js';
-import type { SimNetwork } from './network.js';
-import type { RuleChecker } from './rules.js';
+import type { SimulatedNetwork } from './network.js';
+import type { RuleChecker } from './rule-checker.js';
 
 /** One attempt of a task on this worker. */
 interface Task {
@@ -32,7 +32,7 @@
 /**
  * Simulated worker, written from the protocol of the real one: leases, sessions, tokens, reports and direct commands.
  */
-export class SimWorker {
+export class SimulatedWorker {
   private readonly tasks = new Map<string, Task>();
   private session = 1;
   private reportNumber = 0;
@@ -42,7 +42,7 @@
   private isReporting = false;
   private isAlive = true;
   /** While true, the machine neither runs tasks nor handles messages, and its clock runs on. */
-  hanging = false;
+  isHanging = false;
   private readonly httpCaller: HttpClient;
 
   constructor(
@@ -50,7 +50,7 @@
     private readonly controllers: { member: string; address: string }[],
     private readonly timing: { reportS: number; leaseS: number; fetchS: number },
     private readonly clock: Clock,
-    network: Pick<SimNetwork, 'attach' | 'createCaller'>,
+    network: Pick<SimulatedNetwork, 'attach' | 'createCaller'>,
     private readonly rules: RuleChecker,
     private readonly random: () => number,
     /** Tasks that finished on any machine. Another attempt at one of them takes only 10 ms. */
@@ -104,7 +104,7 @@
   private watchLease(): void {
     this.clock.setTimer(100, () => {
       if (!this.isAlive) return;
-      if (!this.hanging && this.clock.steadyMs() - this.leaseRenewedMs > this.timing.leaseS * 1000) {
+      if (!this.isHanging && this.clock.steadyMs() - this.leaseRenewedMs > this.timing.leaseS * 1000) {
         for (const task of this.tasks.values())
           if (task.phase === 'running') this.rules.tasksKilledByLeaseExpiry++;
         this.killTasks();
@@ -138,7 +138,7 @@
   private scheduleReport(delayMs: number): void {
     this.clock.setTimer(delayMs, () => {
       if (!this.isAlive) return;
-      if (this.hanging) return this.scheduleReport(200);
+      if (this.isHanging) return this.scheduleReport(200);
       void this.sendReport();
     });
   }
@@ -165,7 +165,7 @@
     if (!this.isAlive) return;
     if (response?.status === 200) {
       const body = JSON.parse(response.body) as { baton: number; orders: Command[] };
-      if (!this.hanging && body.baton >= this.token && session === this.session) {
+      if (!this.isHanging && body.baton >= this.token && session === this.session) {
         const isTokenRaised = body.baton > this.token;
         this.token = body.baton;
         this.leaseRenewedMs = sentMs;
@@ -189,7 +189,7 @@
   private async handleRequest(target: string, body: string | undefined): Promise<HttpResponse | undefined> {
     if (!this.isAlive) return undefined;
     // A hanging machine handles the requests that reached it once it runs again.
-    while (this.hanging) await new Promise<void>((resolve) => this.clock.setTimer(100, resolve));
+    while (this.isHanging) await new Promise<void>((resolve) => this.clock.setTimer(100, resolve));
     // The machine may have been terminated in the meantime.
     if (!this.isAlive) return undefined;
     if (target === '/show') return { status: 200, body: JSON.stringify(this.buildReport()) };
@@ -228,7 +228,7 @@
 
   private startTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'fetching') return;
-    if (this.hanging) {
+    if (this.isHanging) {
       this.clock.setTimer(200, () => this.startTask(key, task));
       return;
     }
@@ -248,7 +248,7 @@
 
   private finishTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'running') return;
-    if (this.hanging) {
+    if (this.isHanging) {
       this.clock.setTimer(200, () => this.finishTask(key, task));
       return;
     }
--- a/src/simulation/state-service.ts
+++ b/src/simulation/state-service.ts
@@ -21,7 +21,7 @@
 });
 
 /** Simulated state service, written from the protocol of the real one. */
-export class SimStateService {
+export class SimulatedStateService {
   private readonly rows = new Map<string, StoredRow>();
   private readonly leases = new Map<number, { ttlMs: number; endMs: number }>();
   private log: LogEntry[] = [];
@@ -29,15 +29,15 @@
   private lastLeaseId = 0;
   private readonly watchers = new Set<() => void>();
   /** Callers whose requests get a 503. The entry '*' stands for every caller. */
-  readonly refused = new Set<string>();
+  readonly refusedCallers = new Set<string>();
   /** Share of transactions that get no answer and are executed seconds later, after newer ones. */
-  lateShare = 0;
+  delayedTransactionShare = 0;
   /** Draws the delay of each request in milliseconds. Undefined if requests are handled without delay. */
-  slowMs: (() => number) | undefined;
+  drawDelayMs: (() => number) | undefined;
   /** Limits of one value and one transaction. A transaction beyond them gets a 400. */
   limits = { valueBytes: 8192, maxTransactionOperations: 12 };
   /** Number of transactions that got a 400 because they exceeded the limits. */
-  malformed = 0;
+  oversizedTransactions = 0;
   /** Number of requests in each second. */
   readonly requestsBySecond: number[] = [];
   /** Number of puts and deletes in each second. */
@@ -55,28 +55,28 @@
   }
 
   /** The revision of a key. 0 if the key does not exist. */
-  stampOf(key: string): number {
+  getRevision(key: string): number {
     return this.rows.get(key)?.stamp ?? 0;
   }
 
   /** The keys that start with the prefix. */
-  keys(prefix: string): string[] {
+  listKeys(prefix: string): string[] {
     return [...this.rows.keys()].filter((key) => key.startsWith(prefix));
   }
 
   /** Number of changes so far to keys that start with the prefix. */
-  writesOf(prefix: string): number {
+  countChanges(prefix: string): number {
     return this.log.filter(({ key }) => key.startsWith(prefix)).length;
   }
 
   /** The stored value of a key. Undefined if the key does not exist. */
-  peek(key: string): unknown {
+  getValue(key: string): unknown {
     return this.rows.get(key)?.v;
   }
 
   /** Ends an outage. Every lease gets its full time to live again. */
   endOutage(): void {
-    this.refused.clear();
+    this.refusedCallers.clear();
     for (const lease of this.leases.values()) lease.endMs = this.clock.steadyMs() + lease.ttlMs;
     this.notifyWatchers();
   }
@@ -87,14 +87,15 @@
     this.requestsBySecond[second] = (this.requestsBySecond[second] ?? 0) + 1;
     const url = new URL(target, 'http://state');
     const query = url.searchParams;
-    const isRefused = (): boolean => this.refused.has('*') || this.refused.has(from);
+    const isRefused = (): boolean => this.refusedCallers.has('*') || this.refusedCallers.has(from);
     if (isRefused()) return jsonResponse(503, {});
-    if (this.slowMs) await new Promise<void>((resolve) => this.clock.setTimer(this.slowMs!(), resolve));
+    if (this.drawDelayMs)
+      await new Promise<void>((resolve) => this.clock.setTimer(this.drawDelayMs!(), resolve));
     if (url.pathname === '/follow') return this.followLog(query, isRefused);
     if (url.pathname === '/keys') return this.listRows(query);
     if (url.pathname.startsWith('/keys/')) return this.getRow(url.pathname.slice('/keys/'.length));
     if (url.pathname === '/multi') {
-      if (this.lateShare === 0 || this.random() >= this.lateShare)
+      if (this.delayedTransactionShare === 0 || this.random() >= this.delayedTransactionShare)
         return this.executeTransaction(JSON.parse(body ?? ''));
       this.clock.setTimer(
         2_000 + this.random() * 10_000,
@@ -118,7 +119,7 @@
   }
 
   private expireLeases(): void {
-    if (this.refused.has('*')) return;
+    if (this.refusedCallers.has('*')) return;
     for (const [leaseId, lease] of this.leases)
       if (this.clock.steadyMs() >= lease.endMs) this.endLease(leaseId);
   }
@@ -175,7 +176,7 @@
       operations.length > this.limits.maxTransactionOperations ||
       (transaction.if ?? []).length > this.limits.maxTransactionOperations * 4;
     if (hasLargeValue || hasTooManyItems || JSON.stringify(transaction).length > 65_536) {
-      this.malformed++;
+      this.oversizedTransactions++;
       return jsonResponse(400, { error: 'too large' });
     }
     const second = Math.floor(this.clock.steadyMs() / 1000);
--- a/test/api/admission.test.ts
+++ b/test/api/admission.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { findRejectionReason } from '../../src/api/admission.js';
 import type { JobSpec } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { LARGE_INSTANCE_TYPE, RED_TEAM_QUOTA, SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 test('a job that can never run is rejected with the reason', () => {
@@ -20,7 +20,7 @@
   ];
   for (const [fields, reason] of cases)
     assert.equal(
-      findRejectionReason(jobSpec(fields), [SMALL_INSTANCE_TYPE, LARGE_INSTANCE_TYPE], quotas),
+      findRejectionReason(createJobSpec(fields), [SMALL_INSTANCE_TYPE, LARGE_INSTANCE_TYPE], quotas),
       reason,
     );
 });
--- a/test/autoscaler/headroom.test.ts
+++ b/test/autoscaler/headroom.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planHeadroom } from '../../src/autoscaler/headroom.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 test('headroom covers the tasks that are expected while a node boots, for job classes that must start sooner', () => {
   const createService = (tasks: number, acceptedMs: number, jobClass = 'live') => ({
-    spec: jobSpec({ kind: 'service', jobClass, tasks }),
+    spec: createJobSpec({ kind: 'service', jobClass, tasks }),
     acceptedMs,
   });
   const nowMs = 1_000_000;
--- a/test/autoscaler/scale-out-planner.test.ts
+++ b/test/autoscaler/scale-out-planner.test.ts
@@ -3,7 +3,7 @@
 import type { CapacityDemand } from '../../src/autoscaler/capacity-demand.js';
 import { planScaleOut } from '../../src/autoscaler/scale-out-planner.js';
 import type { JobSpec } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { LARGE_INSTANCE_TYPE, SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 const formatKind = ({ spot }: { spot: boolean }): string => (spot ? 'spot' : 'on demand');
@@ -14,7 +14,7 @@
     count: number,
     overrides: Partial<CapacityDemand> = {},
   ): CapacityDemand => ({
-    spec: jobSpec({ tasks: count, ...fields }),
+    spec: createJobSpec({ tasks: count, ...fields }),
     expectedRunTimeS: 13,
     taskCount: count,
     allocationsPerZone: new Map(),
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -15,7 +15,7 @@
   encodeJob,
 } from '../src/state/records.js';
 import { CompletionBitmap } from '../src/state/completion-bitmap.js';
-import { jobSpec, SETTINGS } from './fixtures.js';
+import { createJobSpec, PLATFORM_SETTINGS } from './fixtures.js';
 
 const VALID_SUBMISSION = {
   uid: 'job-000412',
@@ -118,13 +118,13 @@
     writeFileSync(operatorFile, operator);
     return loadSettings(platformFile, operatorFile);
   };
-  const settings = loadSettingsFrom(SETTINGS, '{"idleKeepS": 7}');
+  const settings = loadSettingsFrom(PLATFORM_SETTINGS, '{"idleKeepS": 7}');
   assert.deepEqual(settings.peers, [{ member: 'b', zone: 'z', address: '127.0.0.1:82' }]);
   assert.equal(settings.teams[0]!.acceleratorLimit, 0);
   assert.equal(settings.operator.idleKeepS, 7);
   assert.equal(settings.operator.useSpot, true);
   // An announced limit applies at once if it is lower than the current limit.
-  const announced = `${SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
+  const announced = `${PLATFORM_SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
   const { stateLimits } = loadSettingsFrom(announced);
   assert.deepEqual(stateLimits, { ...settings.stateLimits, writesPerSecond: 7, valueBytes: 2048 });
   for (const invalidLimit of [
@@ -135,19 +135,19 @@
     'rps = "many"',
   ])
     assert.throws(
-      () => loadSettingsFrom(`${SETTINGS}\n[deployment.state.next]\n${invalidLimit}\n`),
+      () => loadSettingsFrom(`${PLATFORM_SETTINGS}\n[deployment.state.next]\n${invalidLimit}\n`),
       (error) =>
         error instanceof SettingsError && /next/.test(error.message) && !error.message.includes('\n'),
       invalidLimit,
     );
   const invalidFiles: [text: string, operator: string | undefined, message: RegExp][] = [
     ['member = ', undefined, /s\.toml: /],
-    [SETTINGS.replace('member = "a"', ''), undefined, /member/],
-    [SETTINGS.replace('127.0.0.1:80', 'nowhere'), undefined, /public_addr/],
-    [SETTINGS.replace('lease_s = 14.0', 'lease_s = "x"'), undefined, /lease_s must be number/],
-    [SETTINGS, '{"idleKeepS": -1}', /idleKeepS/],
-    [SETTINGS, '{"other": 1}', /additional/],
-    [SETTINGS, '{', /o\.json/],
+    [PLATFORM_SETTINGS.replace('member = "a"', ''), undefined, /member/],
+    [PLATFORM_SETTINGS.replace('127.0.0.1:80', 'nowhere'), undefined, /public_addr/],
+    [PLATFORM_SETTINGS.replace('lease_s = 14.0', 'lease_s = "x"'), undefined, /lease_s must be number/],
+    [PLATFORM_SETTINGS, '{"idleKeepS": -1}', /idleKeepS/],
+    [PLATFORM_SETTINGS, '{"other": 1}', /additional/],
+    [PLATFORM_SETTINGS, '{', /o\.json/],
   ];
   for (const [text, operator, message] of invalidFiles)
     assert.throws(
@@ -163,7 +163,7 @@
   const record = {
     phase: 'open' as const,
     taskCount: 4,
-    spec: jobSpec(),
+    spec: createJobSpec(),
     acceptedMs: 5,
     memberStates: 'NN',
     isSuccessorRunning: false,
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -1,29 +1,29 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SimDay, SMALL } from '../src/simulation/day.js';
-import type { SimJob } from '../src/simulation/rules.js';
+import { SimulatedDeployment, SMALL_DEPLOYMENT } from '../src/simulation/simulated-deployment.js';
+import type { SimulatedJob } from '../src/simulation/rule-checker.js';
 
 /** Tests combinations of faults that occur at the same time. docs/design.md describes the guards against them. */
 
-const listOtherMembers = (deployment: SimDay, member: string): string[] =>
+const listOtherMembers = (deployment: SimulatedDeployment, member: string): string[] =>
   deployment.members.filter((other) => other !== member);
 
-const listFirstRunningHosts = (deployment: SimDay, count: number): string[] =>
-  [...deployment.cloud.hosts.values()]
+const listFirstRunningHosts = (deployment: SimulatedDeployment, count: number): string[] =>
+  [...deployment.cloud.machines.values()]
     .filter((host) => host.worker)
     .slice(0, count)
     .map((host) => host.name);
 
 /** Lists machines whose workers have received start commands, executed or not. */
-const listHostsWithCommands = (deployment: SimDay): string[] =>
-  [...deployment.cloud.hosts.values()]
+const listHostsWithCommands = (deployment: SimulatedDeployment): string[] =>
+  [...deployment.cloud.machines.values()]
     .filter(({ worker }) => worker && (Reflect.get(worker, 'tasks') as Map<string, unknown>).size > 0)
     .map(({ name }) => name);
 
 /** Submits jobs of every kind from the start on. Returns the arrays, which must finish. */
-function submitWorkload(deployment: SimDay): SimJob[] {
-  const jobsToFinish: SimJob[] = [];
-  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
+function submitWorkload(deployment: SimulatedDeployment): SimulatedJob[] {
+  const jobsToFinish: SimulatedJob[] = [];
+  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, zoneSpread: true }));
   for (let i = 0; i < 14; i++) {
     deployment.at(4 + i * 8, () => {
       jobsToFinish.push(
@@ -32,7 +32,7 @@
           tasks: 1 + ((i * 3) % 7),
           runS: 8 + ((i * 7) % 30),
           spot: i % 2 === 0,
-          dueS: i % 3 ? 60 : null,
+          deadlineS: i % 3 ? 60 : null,
         }),
       );
     });
@@ -41,7 +41,11 @@
 }
 
 /** Submits long jobs, each of which is cancelled at one of the given seconds. */
-function submitAndCancel(deployment: SimDay, times: number[], fields: Partial<SimJob> = {}): void {
+function submitAndCancel(
+  deployment: SimulatedDeployment,
+  times: number[],
+  fields: Partial<SimulatedJob> = {},
+): void {
   times.forEach((atS, i) => {
     deployment.at(4 + i * 0.4, () => {
       const job = deployment.submit({ tasks: 2, cpus: 1, runS: 300, ...fields });
@@ -62,13 +66,15 @@
 for (const offsetS of [0.4, 1, 1.6, 2, 2.4, 3, 4]) {
   for (const seed of [1, 2]) {
     test(`the state service refuses only the leader, and ${offsetS} s later everyone (seed ${seed})`, async () => {
-      const deployment = new SimDay(seed);
+      const deployment = new SimulatedDeployment(seed);
       submitAndCancel(deployment, spaceEvenly(50.1, 50 + offsetS, 12));
-      deployment.at(50, () => deployment.state.refused.add(deployment.leader ?? deployment.members[0]!));
-      deployment.at(50 + offsetS, () => deployment.state.refused.add('*'));
+      deployment.at(50, () =>
+        deployment.state.refusedCallers.add(deployment.leader ?? deployment.members[0]!),
+      );
+      deployment.at(50 + offsetS, () => deployment.state.refusedCallers.add('*'));
       deployment.at(50 + offsetS + 52, () => deployment.state.endOutage());
       await deployment.clock.runUntil(130_000);
-      assert.deepEqual(deployment.rules.broken, []);
+      assert.deepEqual(deployment.rules.violations, []);
       assert.ok(deployment.rules.startCount >= 20, `only ${deployment.rules.startCount} tasks started`);
     });
   }
@@ -82,36 +88,38 @@
 for (const [description, selectFormerMembers] of [
   [
     'its peers run',
-    (deployment: SimDay) => listOtherMembers(deployment, deployment.leader ?? deployment.members[0]!),
+    (deployment: SimulatedDeployment) =>
+      listOtherMembers(deployment, deployment.leader ?? deployment.members[0]!),
   ],
   [
     'one of its peers runs',
-    (deployment: SimDay) =>
+    (deployment: SimulatedDeployment) =>
       listOtherMembers(deployment, deployment.leader ?? deployment.members[0]!).slice(1),
   ],
 ] as const) {
   test(`the state service refuses only the leader, then everyone, while ${description} a former version`, async () => {
     for (const seed of [1, 2]) {
-      const deployment = new SimDay(seed);
+      const deployment = new SimulatedDeployment(seed);
       submitAndCancel(deployment, spaceEvenly(50.1, 51, 8));
       // The tasks of this job end one after another, and an uninformed leader would start the next ones.
       deployment.at(10, () => deployment.submit({ tasks: 400, cpus: 1, runS: 3, team: 'red' }));
       deployment.at(50, () => {
         for (const uid of [...deployment.rules.jobs.keys()].slice(-1)) void deployment.cancel(uid);
-        for (const member of selectFormerMembers(deployment)) deployment.peers.former.add(member);
-        deployment.state.refused.add(deployment.leader ?? deployment.members[0]!);
+        for (const member of selectFormerMembers(deployment))
+          deployment.peers.formerVersionMembers.add(member);
+        deployment.state.refusedCallers.add(deployment.leader ?? deployment.members[0]!);
       });
-      deployment.at(51, () => deployment.state.refused.add('*'));
+      deployment.at(51, () => deployment.state.refusedCallers.add('*'));
       deployment.at(110, () => deployment.state.endOutage());
       await deployment.clock.runUntil(130_000);
-      assert.deepEqual(deployment.rules.broken, []);
-      assert.deepEqual(deployment.rules.startedCancelled, []);
+      assert.deepEqual(deployment.rules.violations, []);
+      assert.deepEqual(deployment.rules.startsAfterCancellation, []);
     }
   });
 }
 
 test('the first answer to an unknown machine stops the tasks of cancelled jobs, and commands nothing else', async () => {
-  const deployment = new SimDay(5);
+  const deployment = new SimulatedDeployment(5);
   deployment.at(5, () => deployment.submit({ tasks: 1, runS: 200 }));
   deployment.at(5, () => deployment.submit({ tasks: 1, runS: 200 }, 10));
   await deployment.clock.runUntil(40_000);
@@ -124,7 +132,7 @@
   const body = { ...report, tenure: 1, tick: 1, baton: 0, warningS: null, pieces };
   let response: { status: number; body: string } | undefined;
   void deployment
-    .askOne(deployment.leader ?? deployment.members[0]!, 'POST', '/v1/report', body)
+    .sendRequest(deployment.leader ?? deployment.members[0]!, 'POST', '/v1/report', body)
     .then((result) => (response = result));
   await deployment.clock.runUntil(42_000);
   assert.equal(response?.status, 200);
@@ -135,7 +143,7 @@
 /** Faults that are injected under the common workload. */
 interface FaultScenario {
   name: string;
-  injectFaults: (deployment: SimDay) => void;
+  injectFaults: (deployment: SimulatedDeployment) => void;
   /** Second after which no fault is active. */
   faultsEndS: number;
   /** Whether messages are held back, so that a start command may arrive long after it was sent. */
@@ -146,24 +154,26 @@
   {
     name: 'unanswered transactions are executed late, with cancellations and crashes',
     injectFaults: (deployment) => {
-      deployment.at(15, () => (deployment.state.lateShare = 0.3));
+      deployment.at(15, () => (deployment.state.delayedTransactionShare = 0.3));
       submitAndCancel(deployment, spaceEvenly(20, 80, 8));
-      deployment.at(45, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 300));
-      deployment.at(70, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 4000));
-      deployment.at(85, () => (deployment.state.lateShare = 0));
+      deployment.at(45, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 300));
+      deployment.at(70, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 4000));
+      deployment.at(85, () => (deployment.state.delayedTransactionShare = 0));
     },
     faultsEndS: 100,
   },
   {
     name: 'most transactions are late while the controllers crash and machines are terminated',
     injectFaults: (deployment) => {
-      deployment.at(25, () => (deployment.state.lateShare = 0.8));
-      deployment.at(30, () => deployment.members.forEach((member) => deployment.crash(member, 200)));
+      deployment.at(25, () => (deployment.state.delayedTransactionShare = 0.8));
+      deployment.at(30, () =>
+        deployment.members.forEach((member) => deployment.crashController(member, 200)),
+      );
       deployment.at(33, () =>
-        listFirstRunningHosts(deployment, 3).forEach((host) => deployment.cloud.take(host)),
+        listFirstRunningHosts(deployment, 3).forEach((host) => deployment.cloud.terminate(host)),
       );
       submitAndCancel(deployment, spaceEvenly(28, 45, 6));
-      deployment.at(45, () => (deployment.state.lateShare = 0));
+      deployment.at(45, () => (deployment.state.delayedTransactionShare = 0));
     },
     faultsEndS: 60,
   },
@@ -175,7 +185,7 @@
       deployment.at(40, () =>
         listFirstRunningHosts(deployment, 6).forEach((host) => deployment.network.dropOwnRequests(host)),
       );
-      deployment.at(52, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 2000));
+      deployment.at(52, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 2000));
       deployment.at(90, () => deployment.network.heal());
     },
     faultsEndS: 95,
@@ -189,8 +199,8 @@
         for (const host of listFirstRunningHosts(deployment, 5))
           deployment.members.forEach((member) => deployment.network.partition(host, member));
       });
-      deployment.at(45, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 3000));
-      deployment.at(58, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 3000));
+      deployment.at(45, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 3000));
+      deployment.at(58, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 3000));
       deployment.at(75, () => deployment.network.heal());
     },
     faultsEndS: 85,
@@ -202,9 +212,9 @@
       submitAndCancel(deployment, spaceEvenly(36, 120, 10));
       for (let i = 0; i < 10; i++)
         deployment.at(35 + i * 9, () =>
-          deployment.crash(deployment.leader ?? deployment.members[0]!, 400 + (i % 3) * 1500),
+          deployment.crashController(deployment.leader ?? deployment.members[0]!, 400 + (i % 3) * 1500),
         );
-      deployment.at(84, () => deployment.state.refused.add('*'));
+      deployment.at(84, () => deployment.state.refusedCallers.add('*'));
       deployment.at(102, () => deployment.state.endOutage());
     },
     faultsEndS: 135,
@@ -228,10 +238,12 @@
     name: 'the state service is slow, then refuses only the leader, then everyone, with cancellations and polls',
     injectFaults: (deployment) => {
       submitAndCancel(deployment, spaceEvenly(38, 62, 12));
-      deployment.at(36, () => (deployment.state.slowMs = () => 200 + deployment.random() * 1_200));
-      deployment.at(55, () => (deployment.state.slowMs = undefined));
-      deployment.at(55, () => deployment.state.refused.add(deployment.leader ?? deployment.members[0]!));
-      deployment.at(57, () => deployment.state.refused.add('*'));
+      deployment.at(36, () => (deployment.state.drawDelayMs = () => 200 + deployment.random() * 1_200));
+      deployment.at(55, () => (deployment.state.drawDelayMs = undefined));
+      deployment.at(55, () =>
+        deployment.state.refusedCallers.add(deployment.leader ?? deployment.members[0]!),
+      );
+      deployment.at(57, () => deployment.state.refusedCallers.add('*'));
       deployment.at(97, () => deployment.state.endOutage());
     },
     faultsEndS: 105,
@@ -240,7 +252,7 @@
     name: 'jobs are cancelled, polled or submitted again when their last task ends',
     injectFaults: (deployment) => {
       // Responses of the state service take long enough for a cancellation and a completion to overlap.
-      deployment.at(20, () => (deployment.state.slowMs = () => deployment.random() * 150));
+      deployment.at(20, () => (deployment.state.drawDelayMs = () => deployment.random() * 150));
       for (let i = 0; i < 50; i++)
         deployment.at(25 + i, () =>
           deployment.submit({ tasks: 1 + (i % 2), cpus: 1, runS: 2 + (i % 5), spot: true }),
@@ -263,17 +275,19 @@
     name: 'jobs are cancelled while the state service refuses only the leader, their machines hang, and a second later it refuses everyone',
     injectFaults: (deployment) => {
       submitAndCancel(deployment, spaceEvenly(50, 50.2, 10));
-      deployment.at(50, () => deployment.state.refused.add(deployment.leader ?? deployment.members[0]!));
+      deployment.at(50, () =>
+        deployment.state.refusedCallers.add(deployment.leader ?? deployment.members[0]!),
+      );
       deployment.at(50.1, () => {
         const hangingWorkers = listFirstRunningHosts(deployment, 6).map(
-          (host) => deployment.cloud.hosts.get(host)!.worker!,
+          (host) => deployment.cloud.machines.get(host)!.worker!,
         );
-        for (const worker of hangingWorkers) worker.hanging = true;
+        for (const worker of hangingWorkers) worker.isHanging = true;
         deployment.at(59, () => {
-          for (const worker of hangingWorkers) worker.hanging = false;
+          for (const worker of hangingWorkers) worker.isHanging = false;
         });
       });
-      deployment.at(51, () => deployment.state.refused.add('*'));
+      deployment.at(51, () => deployment.state.refusedCallers.add('*'));
       deployment.at(95, () => deployment.state.endOutage());
     },
     faultsEndS: 105,
@@ -281,14 +295,18 @@
   {
     name: 'jobs bound to one zone lose machines',
     injectFaults: (deployment) => {
-      deployment.at(10, () => deployment.submit({ tasks: 6, runS: 40, oneZone: true }));
+      deployment.at(10, () => deployment.submit({ tasks: 6, runS: 40, singleZone: true }));
       deployment.at(12, () => deployment.submit({ tasks: 6, runS: 40, zone: 'west' }));
-      deployment.at(14, () => deployment.submit({ kind: 'service', team: 'red', tasks: 2, oneZone: true }));
+      deployment.at(14, () =>
+        deployment.submit({ kind: 'service', team: 'red', tasks: 2, singleZone: true }),
+      );
       for (const atS of [30, 42, 54])
         deployment.at(atS, () =>
-          listFirstRunningHosts(deployment, 3).forEach((host) => deployment.cloud.take(host)),
+          listFirstRunningHosts(deployment, 3).forEach((host) => deployment.cloud.terminate(host)),
         );
-      deployment.at(42.5, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 1000));
+      deployment.at(42.5, () =>
+        deployment.crashController(deployment.leader ?? deployment.members[0]!, 1000),
+      );
     },
     faultsEndS: 60,
   },
@@ -296,7 +314,9 @@
     name: 'all controllers are down for longer than a lease and restart together',
     injectFaults: (deployment) => {
       submitAndCancel(deployment, [38, 39, 62, 64]);
-      deployment.at(40, () => deployment.members.forEach((member) => deployment.crash(member, 20_000)));
+      deployment.at(40, () =>
+        deployment.members.forEach((member) => deployment.crashController(member, 20_000)),
+      );
     },
     faultsEndS: 65,
   },
@@ -305,12 +325,14 @@
     injectFaults: (deployment) => {
       submitAndCancel(deployment, spaceEvenly(41, 60, 6));
       for (const atS of [40, 44, 48])
-        deployment.at(atS, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 300));
+        deployment.at(atS, () =>
+          deployment.crashController(deployment.leader ?? deployment.members[0]!, 300),
+        );
       deployment.at(52, () =>
-        deployment.members.forEach((member, i) => deployment.crash(member, i === 1 ? 700 : 6_000)),
+        deployment.members.forEach((member, i) => deployment.crashController(member, i === 1 ? 700 : 6_000)),
       );
       deployment.at(60, () =>
-        deployment.members.forEach((member, i) => deployment.crash(member, i === 2 ? 300 : 9_000)),
+        deployment.members.forEach((member, i) => deployment.crashController(member, i === 2 ? 300 : 9_000)),
       );
     },
     faultsEndS: 72,
@@ -328,7 +350,7 @@
         });
         deployment.at(atS + 5, () => deployment.network.heal());
       });
-      deployment.at(50, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 1500));
+      deployment.at(50, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 1500));
     },
     faultsEndS: 70,
     delaysCommands: true,
@@ -348,7 +370,7 @@
           .slice(4)
           .forEach((host) => deployment.network.dropInbound(host)),
       );
-      deployment.at(44, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 5000));
+      deployment.at(44, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 5000));
       deployment.at(75, () => deployment.network.heal());
     },
     faultsEndS: 85,
@@ -359,15 +381,19 @@
     injectFaults: (deployment) => {
       for (const atS of [10, 25, 40, 55])
         deployment.at(atS, () => {
-          for (const host of deployment.cloud.hosts.keys())
+          for (const host of deployment.cloud.machines.keys())
             deployment.network.duplicateRequests(host, () => 2_000 + deployment.random() * 40_000);
         });
       submitAndCancel(deployment, spaceEvenly(38, 70, 8));
       for (const atS of [40, 52, 64])
-        deployment.at(atS, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 500));
-      deployment.at(45, () => deployment.state.refused.add('*'));
+        deployment.at(atS, () =>
+          deployment.crashController(deployment.leader ?? deployment.members[0]!, 500),
+        );
+      deployment.at(45, () => deployment.state.refusedCallers.add('*'));
       // For longer than a lease no controller answers, so the sessions of the workers end.
-      deployment.at(46, () => deployment.members.forEach((member) => deployment.crash(member, 300)));
+      deployment.at(46, () =>
+        deployment.members.forEach((member) => deployment.crashController(member, 300)),
+      );
       deployment.at(66, () => deployment.state.endOutage());
     },
     faultsEndS: 110,
@@ -377,8 +403,8 @@
     injectFaults: (deployment) => {
       deployment.at(6, () => deployment.submit({ tasks: 16, cpus: 1, runS: 90 }));
       submitAndCancel(deployment, spaceEvenly(42, 70, 8));
-      deployment.at(41, () => deployment.network.cutZones());
-      deployment.at(55, () => deployment.crash('c1', 1000));
+      deployment.at(41, () => deployment.network.partitionZones());
+      deployment.at(55, () => deployment.crashController('c1', 1000));
       deployment.at(80, () => deployment.network.heal());
     },
     faultsEndS: 90,
@@ -390,8 +416,10 @@
       for (let i = 0; i < 6; i++)
         deployment.at(20 + i * 4, () => deployment.submit({ tasks: 2 + (i % 2), cpus: 4, runS: 6 + i * 6 }));
       for (const atS of [40, 47, 54, 61])
-        deployment.at(atS, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 600));
-      deployment.at(66, () => deployment.state.refused.add('*'));
+        deployment.at(atS, () =>
+          deployment.crashController(deployment.leader ?? deployment.members[0]!, 600),
+        );
+      deployment.at(66, () => deployment.state.refusedCallers.add('*'));
       deployment.at(74, () => deployment.state.endOutage());
     },
     faultsEndS: 80,
@@ -400,11 +428,15 @@
     name: 'jobs with and without deadlines exceed the capacity while leaders change',
     injectFaults: (deployment) => {
       for (let i = 0; i < 4; i++)
-        deployment.at(10 + i * 5, () => deployment.submit({ tasks: 14, runS: 15, dueS: i % 2 ? 50 : null }));
+        deployment.at(10 + i * 5, () =>
+          deployment.submit({ tasks: 14, runS: 15, deadlineS: i % 2 ? 50 : null }),
+        );
       for (let i = 0; i < 3; i++)
         deployment.at(22 + i * 10, () => deployment.submit({ kind: 'service', tasks: 3 }));
       for (const atS of [35, 50])
-        deployment.at(atS, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 1500));
+        deployment.at(atS, () =>
+          deployment.crashController(deployment.leader ?? deployment.members[0]!, 1500),
+        );
       submitAndCancel(deployment, spaceEvenly(40, 60, 4));
     },
     faultsEndS: 60,
@@ -415,12 +447,12 @@
       for (let i = 0; i < 30; i++)
         deployment.at(20 + i * 2, () => {
           for (const tracked of [...deployment.rules.jobs.values()].slice(0, 8)) {
-            if (!tracked.accepted) continue;
-            if (tracked.told === 'open') void deployment.resubmit(tracked.job);
-            else if (tracked.told === 'done') void deployment.cancel(tracked.job.uid);
+            if (!tracked.isAccepted) continue;
+            if (tracked.reportedPhase === 'open') void deployment.resubmit(tracked.job);
+            else if (tracked.reportedPhase === 'done') void deployment.cancel(tracked.job.uid);
           }
         });
-      deployment.at(45, () => deployment.crash(deployment.leader ?? deployment.members[0]!, 2000));
+      deployment.at(45, () => deployment.crashController(deployment.leader ?? deployment.members[0]!, 2000));
     },
     faultsEndS: 85,
   },
@@ -429,17 +461,17 @@
 for (const { name, injectFaults, faultsEndS, delaysCommands } of FAULT_SCENARIOS) {
   for (const seed of [1, 2]) {
     test(`combined faults: ${name} (seed ${seed})`, async () => {
-      const deployment = new SimDay(seed);
+      const deployment = new SimulatedDeployment(seed);
       const jobs = submitWorkload(deployment);
-      deployment.calmMs = faultsEndS * 1000;
+      deployment.faultsEndMs = faultsEndS * 1000;
       injectFaults(deployment);
       await deployment.clock.runUntil(230_000);
       deployment.rules.checkServed(faultsEndS * 1000);
-      assert.deepEqual(deployment.rules.broken, []);
-      if (!delaysCommands) assert.deepEqual(deployment.rules.startedCancelled, []);
+      assert.deepEqual(deployment.rules.violations, []);
+      if (!delaysCommands) assert.deepEqual(deployment.rules.startsAfterCancellation, []);
       assert.ok(deployment.rules.startCount > 30, `only ${deployment.rules.startCount} tasks started`);
       assert.deepEqual(
-        jobs.filter((job) => !deployment.isOver(job)).map((job) => job.uid),
+        jobs.filter((job) => !deployment.isFinished(job)).map((job) => job.uid),
         [],
       );
     });
@@ -453,9 +485,9 @@
  */
 for (const seed of [1, 2, 3]) {
   test(`machines boot within two seconds and get tasks while writes are slow and the leader crashes (seed ${seed})`, async () => {
-    const deployment = new SimDay(seed, { ...SMALL, bootS: 1.2 });
-    const jobsToFinish: SimJob[] = [];
-    deployment.at(3, () => (deployment.state.slowMs = () => 300 + 900 * deployment.random()));
+    const deployment = new SimulatedDeployment(seed, { ...SMALL_DEPLOYMENT, bootS: 1.2 });
+    const jobsToFinish: SimulatedJob[] = [];
+    deployment.at(3, () => (deployment.state.drawDelayMs = () => 300 + 900 * deployment.random()));
     for (const atS of [4, 36, 68, 100])
       deployment.at(atS, () => {
         for (let i = 0; i < 4; i++) jobsToFinish.push(deployment.submit({ tasks: 3, cpus: 4, runS: 15 + i }));
@@ -469,29 +501,29 @@
         hasCrashed = true;
         for (const host of startedHosts)
           deployment.members.forEach((member) => deployment.network.partition(host, member));
-        deployment.crash(deployment.leader ?? deployment.members[0]!, 400);
+        deployment.crashController(deployment.leader ?? deployment.members[0]!, 400);
         deployment.at(deployment.clock.steadyMs() / 1000 + 9, () => deployment.network.heal());
       };
       for (let attemptS = atS - 3; attemptS < atS + 3; attemptS += 0.05) deployment.at(attemptS, crashLeader);
     }
-    deployment.at(120, () => (deployment.state.slowMs = undefined));
+    deployment.at(120, () => (deployment.state.drawDelayMs = undefined));
     await deployment.clock.runUntil(240_000);
-    assert.deepEqual(deployment.rules.broken, []);
+    assert.deepEqual(deployment.rules.violations, []);
     assert.deepEqual(
-      jobsToFinish.filter((job) => !deployment.isOver(job)).map((job) => job.uid),
+      jobsToFinish.filter((job) => !deployment.isFinished(job)).map((job) => job.uid),
       [],
     );
   });
 }
 
 test('irregular requests get the answer of the protocol without delay, from followers too', async () => {
-  const deployment = new SimDay(21);
+  const deployment = new SimulatedDeployment(21);
   deployment.at(5, () => deployment.submit({ tasks: 2, runS: 200 }));
   deployment.at(6, () => deployment.submit({ tasks: 1, runS: 2 }));
   deployment.at(7, () => deployment.rules.recordCancelRequest('job-000001'));
   await deployment.clock.runUntil(40_000);
   const encodeSubmissionOf = (uid: string): Record<string, unknown> =>
-    deployment.wireOf({ ...deployment.rules.jobs.get(uid)!.job });
+    deployment.encodeSubmission({ ...deployment.rules.jobs.get(uid)!.job });
   const newSubmission = { ...encodeSubmissionOf('job-000001'), uid: 'job-900001' };
   const incompleteSubmission = { ...newSubmission, cpus: undefined };
   const cases: [name: string, method: string, path: string, body: unknown, status: number, phase?: string][] =
@@ -546,7 +578,7 @@
       const sentMs = deployment.clock.steadyMs();
       let response: { status: number; body: string } | undefined;
       void deployment
-        .askOne(member, method, `/submissions${path}`, body)
+        .sendRequest(member, method, `/submissions${path}`, body)
         .then((result) => (response = result));
       while (!response && deployment.clock.steadyMs() < sentMs + 2_000)
         await deployment.clock.runUntil(deployment.clock.steadyMs() + 20);
@@ -554,7 +586,7 @@
       if (phase) assert.equal((JSON.parse(response!.body) as { phase: string }).phase, phase, name);
     }
   }
-  assert.deepEqual(deployment.rules.broken, []);
+  assert.deepEqual(deployment.rules.violations, []);
 });
 
 /**
@@ -569,11 +601,11 @@
     if (!chosenScenarios.includes(scenario)) chosenScenarios.push(scenario);
   }
   test(`random combination: ${chosenScenarios.map(({ name }) => name).join('; ')} (seed ${seed})`, async () => {
-    const deployment = new SimDay(seed);
+    const deployment = new SimulatedDeployment(seed);
     submitWorkload(deployment);
     for (const { injectFaults } of chosenScenarios) injectFaults(deployment);
     await deployment.clock.runUntil(230_000);
-    assert.deepEqual(deployment.rules.broken, []);
+    assert.deepEqual(deployment.rules.violations, []);
     assert.ok(deployment.rules.startCount > 30, `only ${deployment.rules.startCount} tasks started`);
   });
 }
--- a/test/duties/failure-cases.test.ts
+++ b/test/duties/failure-cases.test.ts
@@ -47,7 +47,7 @@
       const lateCalls = listCloudCallsFrom(cluster, holder).filter((call) => call.holder !== holder);
       assert.ok(lateCalls.length > 0, 'no late call');
       assert.ok(lateCalls.every(({ result }) => result === 'none'));
-      assert.equal(cluster.cloud.hosts.size, 2);
+      assert.equal(cluster.cloud.machines.size, 2);
     },
   },
   {
@@ -59,7 +59,7 @@
       cluster.pause(holder, LONGER_THAN_LEASE_MS);
       await advance(cluster, LONGER_THAN_LEASE_MS + 2_000);
       const records = cluster.log.actions.filter(
-        ({ duty, result }) => duty === 'rent' && result === 'record',
+        ({ role, result }) => role === 'rent' && result === 'record',
       );
       // The first record is the commitment by the holder. Its successor must have written the later ones.
       assert.deepEqual(new Set(records.slice(1).map(({ sender }) => sender === holder)), new Set([false]));
@@ -75,7 +75,7 @@
       cluster.crash(requireHolder(cluster, 'rent'), 2_000);
       cluster.deliveryPolicy = PROMPT_DELIVERY;
       await advance(cluster, 10_000);
-      assert.equal(cluster.cloud.hosts.size, 2);
+      assert.equal(cluster.cloud.machines.size, 2);
       assert.ok(listCloudCalls(cluster).length > 1);
     },
   },
@@ -86,7 +86,7 @@
       cluster.partitionedFromCloud.add(holder);
       cluster.targetNodes = 2;
       await advance(cluster, 20_000);
-      assert.equal(cluster.cloud.hosts.size, 2);
+      assert.equal(cluster.cloud.machines.size, 2);
     },
   },
   {
@@ -95,13 +95,13 @@
       const holder = requireHolder(cluster, 'rent');
       cluster.targetNodes = 2;
       await advanceUntilIntent(cluster, 'rent', 'committed');
-      cluster.state.refused.add(holder);
+      cluster.state.refusedCallers.add(holder);
       cluster.partitionedFromCloud.add(holder);
       await advance(cluster, 3_900);
       cluster.partitionedFromCloud.delete(holder);
       await advance(cluster, 6_000);
       assert.deepEqual(listCloudCallsFrom(cluster, holder), []);
-      cluster.state.refused.clear();
+      cluster.state.refusedCallers.clear();
       await advance(cluster, 6_000);
     },
   },
@@ -112,7 +112,7 @@
       await advanceUntilIntent(cluster, 'rent', 'committed');
       const firstHolder = requireHolder(cluster, 'rent');
       cluster.requireRoles(firstHolder).resign('rent', 'test');
-      for (let i = 0; cluster.log.holderOf('rent') === firstHolder || !cluster.log.holderOf('rent'); i++) {
+      for (let i = 0; cluster.log.getHolder('rent') === firstHolder || !cluster.log.getHolder('rent'); i++) {
         assert.ok(i < 2_000, 'no controller acquired the role');
         await advance(cluster, 1);
       }
@@ -126,7 +126,7 @@
       const holder = requireHolder(cluster, 'rent');
       cluster.targetNodes = 3;
       await advanceUntilIntent(cluster, 'rent', 'committed');
-      cluster.state.refused.add('*');
+      cluster.state.refusedCallers.add('*');
       cluster.crash(holder, 20_000);
       await advance(cluster, 8_000);
       cluster.state.endOutage();
@@ -154,7 +154,7 @@
         cluster.clock.setTimer(i * 300, () => cluster.crash(member, 9_000)),
       );
       await advance(cluster, 8_000);
-      assert.equal(cluster.cloud.hosts.size, 3);
+      assert.equal(cluster.cloud.machines.size, 3);
     },
   },
   {
@@ -168,7 +168,7 @@
       await advance(cluster, 20_000);
       cluster.targetNodes = 0;
       await advance(cluster, 200_000);
-      assert.equal(cluster.cloud.hosts.size, 0);
+      assert.equal(cluster.cloud.machines.size, 0);
     },
   },
   {
@@ -186,8 +186,8 @@
       for (const [key, value] of unreadableRecords) await cluster.writeUnconditionally(key, value);
       cluster.targetNodes = 3;
       await advance(cluster, 60_000);
-      assert.equal(cluster.cloud.hosts.size, 3);
-      for (const [key, value] of unreadableRecords) assert.deepEqual(cluster.state.peek(key), value);
+      assert.equal(cluster.cloud.machines.size, 3);
+      for (const [key, value] of unreadableRecords) assert.deepEqual(cluster.state.getValue(key), value);
     },
   },
   {
@@ -197,7 +197,7 @@
       const tokenRevision = cluster.readModRevision(fencingTokenKey('rent'));
       cluster.requireRoles(requireHolder(cluster, 'rent')).resign('rent', 'test');
       await advance(cluster, 5_000);
-      const { token } = cluster.state.peek(fencingTokenKey('rent')) as { token: number };
+      const { token } = cluster.state.getValue(fencingTokenKey('rent')) as { token: number };
       assert.ok(token > tokenRevision, `token ${token} is not higher than revision ${tokenRevision}`);
     },
   },
@@ -208,13 +208,13 @@
       cluster.targetNodes = 2;
       await advanceUntilIntent(cluster, 'rent', 'committed');
       cluster.partitionedFromCloud.add(holder);
-      cluster.state.refused.add(holder);
+      cluster.state.refusedCallers.add(holder);
       cluster.requireProcess(holder).clockOffsetMs += jumpMs;
       await advance(cluster, 4_500);
       cluster.partitionedFromCloud.delete(holder);
       await advance(cluster, 4_000);
       assert.deepEqual(listCloudCallsFrom(cluster, holder), []);
-      cluster.state.refused.clear();
+      cluster.state.refusedCallers.clear();
       await advance(cluster, 4_000);
     },
   })),
--- a/test/duties/interleavings.test.ts
+++ b/test/duties/interleavings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { StaleSummary } from '../../src/simulation/duty-log.js';
+import type { StaleActionSummary } from '../../src/simulation/role-action-log.js';
 import { ModelCluster, PROMPT_DELIVERY, type DeliveryPolicy } from './model-cluster.js';
 
 const MEMBERS = ['c0', 'c1', 'c2', 'c3'];
@@ -106,13 +106,13 @@
     case 'crash':
       return cluster.crash(member, Math.min(durationMs, 3_000));
     case 'state service partition':
-      state.refused.add(member);
-      return void clock.setTimer(durationMs, () => state.refused.delete(member));
+      state.refusedCallers.add(member);
+      return void clock.setTimer(durationMs, () => state.refusedCallers.delete(member));
     case 'cloud partition':
       cluster.partitionedFromCloud.add(member);
       return void clock.setTimer(durationMs * 2, () => cluster.partitionedFromCloud.delete(member));
     case 'outage':
-      state.refused.add('*');
+      state.refusedCallers.add('*');
       return void clock.setTimer(durationMs / 2, () => state.endOutage());
     case 'new leader':
       return void cluster.elect(member);
@@ -131,7 +131,7 @@
 interface ScenarioOutcome {
   violations: string[];
   unfinished: string[];
-  staleSummary: StaleSummary;
+  staleSummary: StaleActionSummary;
 }
 
 async function runScenario(
@@ -159,7 +159,7 @@
   return {
     violations: cluster.listViolations(),
     unfinished: cluster.listUnfinished(),
-    staleSummary: cluster.log.stale(),
+    staleSummary: cluster.log.summarizeStaleActions(),
   };
 }
 
@@ -171,8 +171,8 @@
       const outcome = await runScenario(scenario);
       assert.deepEqual(outcome.violations, []);
       assert.deepEqual(outcome.unfinished, []);
-      lateCallsWithoutEffect += outcome.staleSummary.withoutEffect;
-      lateCallsAsCommitted += outcome.staleSummary.asRecorded;
+      lateCallsWithoutEffect += outcome.staleSummary.ineffectiveCallCount;
+      lateCallsAsCommitted += outcome.staleSummary.committedEffectCount;
     }),
     // Shrinking would take minutes, so the failing scenario is printed as it is.
     { numRuns: RUN_COUNT, seed: SEED, endOnFailure: true },
--- a/test/duties/leader-changes.test.ts
+++ b/test/duties/leader-changes.test.ts
@@ -42,7 +42,7 @@
       for (const member of THREE_CONTROLLERS) cluster.partitionedFromCloud.delete(member);
       await advance(cluster, 30_000);
       assert.deepEqual(listCloudCalls(cluster), []);
-      assert.equal(cluster.state.peek(intentKey(intent!.id)), undefined);
+      assert.equal(cluster.state.getValue(intentKey(intent!.id)), undefined);
     },
   },
   {
@@ -76,7 +76,7 @@
       assert.deepEqual(listCloudCalls(cluster), []);
       void cluster.elect('c2');
       await advance(cluster, 12_000);
-      assert.equal(cluster.cloud.hosts.size, 2);
+      assert.equal(cluster.cloud.machines.size, 2);
     },
   },
   {
@@ -91,7 +91,7 @@
       await advance(cluster, 3_000);
       cluster.partitionedFromCloud.clear();
       await advance(cluster, 15_000);
-      assert.equal(cluster.cloud.rented, 2);
+      assert.equal(cluster.cloud.rentedCount, 2);
     },
   },
 ];
--- a/test/duties/loopback.test.ts
+++ b/test/duties/loopback.test.ts
@@ -7,7 +7,7 @@
 import { systemClock } from '@pumicehinge/runtime';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { DutyLog } from '../../src/simulation/duty-log.js';
+import { RoleActionLog } from '../../src/simulation/role-action-log.js';
 import { LoopbackCluster } from '../../src/simulation/loopback-cluster.js';
 
 /** Longer than the time to live of the role lease. */
@@ -31,13 +31,13 @@
   const generator = xoroshiro128plus(5);
   const cluster = new LoopbackCluster({
     controllers: 3,
-    machines: 12,
+    machineCapacity: 12,
     timing: { reportS: 1, leaseS: 10, cancelS: 30, bootS: 1 },
     folder,
-    operator: { idleKeepS: 1, duties: { enabled: true } },
+    operatorSettings: { idleKeepS: 1, duties: { enabled: true } },
     random: () => uniformFloat64(generator),
   });
-  const log = new DutyLog(cluster.state, cluster.cloud, () => systemClock.steadyMs());
+  const log = new RoleActionLog(cluster.state, cluster.cloud, () => systemClock.steadyMs());
   await cluster.start((service, handler) => log.wrap(service, handler));
   const { users } = cluster;
   const jobs: string[] = [];
@@ -46,19 +46,19 @@
    * Waits for a holder, as a role may be vacant for a moment, for example when its holder has just lost another role.
    */
   const waitForHolder = async (role: Role): Promise<string> => {
-    await waitUntil(`a controller holds ${role}`, () => log.holderOf(role) !== undefined);
-    const holder = log.holderOf(role);
+    await waitUntil(`a controller holds ${role}`, () => log.getHolder(role) !== undefined);
+    const holder = log.getHolder(role);
     assert.ok(holder, `nobody holds ${role}`);
     return holder;
   };
   const waitForSuccessor = (role: Role, former: string): Promise<void> =>
     waitUntil(`a controller other than ${former} holds ${role}`, () => {
-      const holder = log.holderOf(role);
+      const holder = log.getHolder(role);
       return holder !== undefined && holder !== former;
     });
   try {
-    await waitUntil('every role has a holder', () => !log.holders().includes(undefined));
-    await waitUntil('nodes are launched', () => cluster.cloud.hosts.size >= 2);
+    await waitUntil('every role has a holder', () => !log.getHolders().includes(undefined));
+    await waitUntil('nodes are launched', () => cluster.cloud.machines.size >= 2);
     for (const role of ROLES) {
       const holder = await waitForHolder(role);
       cluster.pause(holder);
@@ -71,22 +71,23 @@
     await waitForSuccessor('rent', killedMember);
     cluster.startController(killedMember);
     const partitionedMember = await waitForHolder('reclaim');
-    cluster.cutFromState.add(partitionedMember);
+    cluster.isolatedFromState.add(partitionedMember);
     await waitForSuccessor('reclaim', partitionedMember);
-    cluster.cutFromState.delete(partitionedMember);
+    cluster.isolatedFromState.delete(partitionedMember);
     // A node that becomes unreachable must be reclaimed.
-    const unreachableNode = [...cluster.cloud.hosts.values()].find(({ worker }) => worker);
-    unreachableNode!.worker!.hanging = true;
+    const unreachableNode = [...cluster.cloud.machines.values()].find(({ worker }) => worker);
+    unreachableNode!.worker!.isHanging = true;
     await waitUntil(
       'the unreachable node is reclaimed',
-      () => !cluster.cloud.hosts.has(unreachableNode!.name),
+      () => !cluster.cloud.machines.has(unreachableNode!.name),
     );
     clearInterval(submitTimer);
-    const isDone = (uid: string): boolean => cluster.rules.jobs.get(uid)?.done.size === TASKS_PER_JOB;
+    const isDone = (uid: string): boolean =>
+      cluster.rules.jobs.get(uid)?.completedTasks.size === TASKS_PER_JOB;
     await waitUntil('all jobs are done', () => jobs.every(isDone));
-    assert.deepEqual(log.stale().accepted, []);
-    assert.deepEqual(cluster.rules.broken, []);
-    assert.ok(log.actions.some(({ duty, result }) => duty === 'reclaim' && result === 'effect'));
+    assert.deepEqual(log.summarizeStaleActions().acceptedActions, []);
+    assert.deepEqual(cluster.rules.violations, []);
+    assert.ok(log.actions.some(({ role, result }) => role === 'reclaim' && result === 'effect'));
   } finally {
     clearInterval(submitTimer);
     await cluster.stop();
--- a/test/duties/model-cluster.ts
+++ b/test/duties/model-cluster.ts
@@ -7,11 +7,11 @@
 import { ControllerRoleStore } from '../../src/duties/controller-role-store.js';
 import { readCurrentLeader } from '../../src/duties/current-leader.js';
 import { HttpCallError, type HttpClient, type HttpResponse } from '../../src/http/message.js';
-import { SimCloud } from '../../src/simulation/cloud.js';
-import { DutyLog, withoutFences } from '../../src/simulation/duty-log.js';
-import type { SimHandler } from '../../src/simulation/network.js';
-import { SimStateService } from '../../src/simulation/state-service.js';
-import type { SimWorker } from '../../src/simulation/workers.js';
+import { SimulatedCloud } from '../../src/simulation/cloud.js';
+import { RoleActionLog, removeFencingConditions } from '../../src/simulation/role-action-log.js';
+import type { SimulatedHandler } from '../../src/simulation/network.js';
+import { SimulatedStateService } from '../../src/simulation/state-service.js';
+import type { SimulatedWorker } from '../../src/simulation/simulated-worker.js';
 import { StoreClient } from '../../src/state/store-client.js';
 import { StateReplica } from '../../src/state/state-replica.js';
 import { encodeLeader, LEADER_KEY, ROOT_PREFIX } from '../../src/state/records.js';
@@ -50,9 +50,9 @@
  */
 export class ModelCluster {
   readonly clock = new SimulatedClock();
-  readonly state: SimStateService;
-  readonly cloud: SimCloud;
-  readonly log: DutyLog;
+  readonly state: SimulatedStateService;
+  readonly cloud: SimulatedCloud;
+  readonly log: RoleActionLog;
   /** Members whose requests don't reach the cloud. */
   readonly partitionedFromCloud = new Set<string>();
   /** Names of nodes that were terminated while the leader of that time considered them usable. */
@@ -63,7 +63,7 @@
   targetNodes = 4;
   /** Called whenever a process reads the current leader. It may throw to simulate a bug in the program. */
   onLeaderRead: (member: string) => void = () => undefined;
-  private readonly handlers = new Map<string, SimHandler>();
+  private readonly handlers = new Map<string, SimulatedHandler>();
   private readonly controllers = new Map<string, ModelController>();
   private electedLeader: { leader: ModelLeader; term: number } | undefined;
 
@@ -72,15 +72,20 @@
     private readonly random: () => number,
     public deliveryPolicy: DeliveryPolicy,
   ) {
-    this.state = new SimStateService(this.clock, random);
+    this.state = new SimulatedStateService(this.clock, random);
     const types = [{ sku: 'm4', cpus: 4, memGb: 16, bootS: 1, price: 1 }];
-    const noWorker = { kill: () => undefined } as unknown as SimWorker;
-    this.cloud = new SimCloud(this.clock, types, ['east'], Infinity, () => noWorker);
-    this.log = new DutyLog(this.state, this.cloud, () => this.clock.steadyMs());
+    const noWorker = { kill: () => undefined } as unknown as SimulatedWorker;
+    this.cloud = new SimulatedCloud(this.clock, types, ['east'], Infinity, () => noWorker);
+    this.log = new RoleActionLog(this.state, this.cloud, () => this.clock.steadyMs());
     this.handlers.set(
       'state:1',
       this.log.wrap('state', (from, method, target, body) =>
-        this.state.handle(from, method, target, this.isFencingEnabled || !body ? body : withoutFences(body)),
+        this.state.handle(
+          from,
+          method,
+          target,
+          this.isFencingEnabled || !body ? body : removeFencingConditions(body),
+        ),
       ),
     );
     this.handlers.set(
@@ -143,14 +148,14 @@
 
   listIntents(): Intent[] {
     return this.state
-      .keys(INTENT_KEY_PREFIX)
-      .map((key) => decodeIntent(key, this.state.peek(key)))
+      .listKeys(INTENT_KEY_PREFIX)
+      .map((key) => decodeIntent(key, this.state.getValue(key)))
       .filter((intent) => intent !== undefined);
   }
 
   /** Returns the revision of a key. */
   readModRevision(key: string): number {
-    return this.state.stampOf(key);
+    return this.state.getRevision(key);
   }
 
   /** Writes a key without any condition, which no controller does. */
@@ -196,7 +201,7 @@
     const stored = replica.get(LEADER_KEY);
     assert.ok(stored, 'there is no leader');
     const modRevision = Number(stored.modRevision);
-    const nodeNames = this.cloud.hosts.keys();
+    const nodeNames = this.cloud.machines.keys();
     const readTargetNodes = (): number => this.targetNodes;
     const { clock } = process;
     this.electedLeader = {
@@ -213,24 +218,24 @@
   }
 
   get term(): number {
-    return (this.state.peek(LEADER_KEY) as { term: number } | undefined)?.term ?? 0;
+    return (this.state.getValue(LEADER_KEY) as { term: number } | undefined)?.term ?? 0;
   }
 
   /** Lists the broken rules. They are detected in the simulated services, independently of the code under test. */
   listViolations(): string[] {
     const uncoveredActions = this.log.actions.filter(
-      ({ result, isCovered }) => result === 'effect' && !isCovered,
+      ({ result, hasCommittedIntent }) => result === 'effect' && !hasCommittedIntent,
     );
     return [
       ...this.log
-        .stale()
-        .accepted.map(
-          ({ sender, duty, subject }) => `accepted from replaced holder ${sender}: ${duty} ${subject}`,
+        .summarizeStaleActions()
+        .acceptedActions.map(
+          ({ sender, role, subject }) => `accepted from replaced holder ${sender}: ${role} ${subject}`,
         ),
       ...uncoveredActions.map(
-        ({ sender, duty, subject }) => `took effect without commitment: ${sender} ${duty} ${subject}`,
+        ({ sender, role, subject }) => `took effect without commitment: ${sender} ${role} ${subject}`,
       ),
-      ...this.log.faults,
+      ...this.log.violations,
       ...this.terminatedWhileUsable.map(
         (name) => `${name} was terminated while the leader considered it usable`,
       ),
@@ -241,23 +246,23 @@
   listUnfinished(): string[] {
     const isOpen = ({ state, id }: Intent): boolean =>
       state === 'committed' || (state === 'requested' && id.term === this.term);
-    const areNodesMissing = this.cloud.hosts.size < this.targetNodes;
+    const areNodesMissing = this.cloud.machines.size < this.targetNodes;
     return [
-      ...ROLES.filter((role) => this.log.holderOf(role) === undefined).map((role) => `nobody holds ${role}`),
+      ...ROLES.filter((role) => this.log.getHolder(role) === undefined).map((role) => `nobody holds ${role}`),
       ...this.listIntents()
         .filter(isOpen)
         .map(({ role, id }) => `${role} intent ${id.term}-${id.sequence} is still open`),
-      ...(areNodesMissing ? [`only ${this.cloud.hosts.size} of ${this.targetNodes} nodes exist`] : []),
+      ...(areNodesMissing ? [`only ${this.cloud.machines.size} of ${this.targetNodes} nodes exist`] : []),
     ];
   }
 
   private async recordTerminations(execute: () => Promise<HttpResponse>): Promise<HttpResponse> {
-    const namesBefore = [...this.cloud.hosts.keys()];
+    const namesBefore = [...this.cloud.machines.keys()];
     const response = await execute();
     const { electedLeader } = this;
     for (const name of namesBefore)
       if (
-        !this.cloud.hosts.has(name) &&
+        !this.cloud.machines.has(name) &&
         electedLeader?.term === this.term &&
         electedLeader.leader.usableNodes.has(name)
       )
--- a/test/duties/role-holding.test.ts
+++ b/test/duties/role-holding.test.ts
@@ -11,9 +11,9 @@
 
 test('roles spread over five controllers, and a single controller holds all of them', async () => {
   const fiveControllerCluster = await createSettledCluster(FIVE_CONTROLLERS);
-  assert.equal(new Set(fiveControllerCluster.log.holders()).size, ROLES.length);
+  assert.equal(new Set(fiveControllerCluster.log.getHolders()).size, ROLES.length);
   const singleControllerCluster = await createSettledCluster(['c0']);
-  assert.deepEqual(new Set(singleControllerCluster.log.holders()), new Set(['c0']));
+  assert.deepEqual(new Set(singleControllerCluster.log.getHolders()), new Set(['c0']));
 });
 
 test('a failed actor is replaced, and the work of the roles continues', async () => {
@@ -36,7 +36,7 @@
   const cluster = await createSettledCluster(THREE_CONTROLLERS);
   cluster.startProcess('c1');
   await advance(cluster, 10_000);
-  const tokens = (): unknown[] => ROLES.map((role) => cluster.state.peek(fencingTokenKey(role)));
+  const tokens = (): unknown[] => ROLES.map((role) => cluster.state.getValue(fencingTokenKey(role)));
   const before = tokens();
   await advance(cluster, 60_000);
   assert.deepEqual(tokens(), before);
@@ -44,7 +44,7 @@
 
 test('a role is never taken from a healthy holder', async () => {
   const cluster = await createSettledCluster(THREE_CONTROLLERS);
-  const tokens = (): unknown[] => ROLES.map((role) => cluster.state.peek(fencingTokenKey(role)));
+  const tokens = (): unknown[] => ROLES.map((role) => cluster.state.getValue(fencingTokenKey(role)));
   const before = tokens();
   await advance(cluster, 120_000);
   assert.deepEqual(tokens(), before);
--- a/test/duties/scenarios.test.ts
+++ b/test/duties/scenarios.test.ts
@@ -3,8 +3,8 @@
 import { roleHolderKey, INTENT_KEY_PREFIX, type Role } from '@pumicehinge/duties';
 import { HttpCloudProvider } from '../../src/duties/http-cloud-provider.js';
 import { findObsoleteRecords } from '../../src/duties/obsolete-records.js';
-import { SimDay, type DayOptions } from '../../src/simulation/day.js';
-import type { SimJob } from '../../src/simulation/rules.js';
+import { SimulatedDeployment, type DeploymentOptions } from '../../src/simulation/simulated-deployment.js';
+import type { SimulatedJob } from '../../src/simulation/rule-checker.js';
 import type { StateReplica } from '../../src/state/state-replica.js';
 import {
   decodeLeader,
@@ -16,17 +16,17 @@
   type JobRecord,
 } from '../../src/state/records.js';
 import { formatJson } from '../../src/wire/json.js';
-import { jobSpec } from '../fixtures.js';
-import { STORED } from '../former.js';
+import { createJobSpec } from '../fixtures.js';
+import { STORED_VALUES } from '../production-version.js';
 
 const SCENARIO_S = 230;
 const OFFERING = { type: 'm', zone: 'z', spot: false };
 const ALL_CONTROLLERS = ['c0', 'c1', 'c2'];
 
 /** Submits jobs, and returns those that must be over at the end. */
-function submitJobs(day: SimDay): SimJob[] {
-  const jobsThatMustEnd: SimJob[] = [];
-  day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
+function submitJobs(day: SimulatedDeployment): SimulatedJob[] {
+  const jobsThatMustEnd: SimulatedJob[] = [];
+  day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 3, zoneSpread: true }));
   for (let i = 0; i < 12; i++)
     day.at(5 + i * 11, () =>
       jobsThatMustEnd.push(day.submit({ tasks: 1 + ((i * 5) % 13), runS: 8 + i, spot: i % 2 === 0 })),
@@ -35,19 +35,25 @@
   return jobsThatMustEnd;
 }
 
-const readHolder = (day: SimDay, role: Role): string | undefined =>
-  (day.state.peek(roleHolderKey(role)) as { member: string } | undefined)?.member;
+const readHolder = (day: SimulatedDeployment, role: Role): string | undefined =>
+  (day.state.getValue(roleHolderKey(role)) as { member: string } | undefined)?.member;
 
 /**
  * The faults of each scenario, with the second at which they are injected. Every rule must hold, and every array must
  * end.
  */
-const SCENARIOS: { name: string; options?: Partial<DayOptions>; injectFaults: (day: SimDay) => void }[] = [
+const SCENARIOS: {
+  name: string;
+  options?: Partial<DeploymentOptions>;
+  injectFaults: (day: SimulatedDeployment) => void;
+}[] = [
   { name: 'no fault', injectFaults: () => undefined },
   {
     name: 'the holder of the scale-out role is paused for longer than its lease several times',
     injectFaults: (day) =>
-      [25, 45, 65, 85].forEach((s) => day.at(s, () => day.freeze(readHolder(day, 'rent') ?? 'c0', 9000))),
+      [25, 45, 65, 85].forEach((s) =>
+        day.at(s, () => day.pauseController(readHolder(day, 'rent') ?? 'c0', 9000)),
+      ),
   },
   {
     name: 'leader and role holders crash together',
@@ -55,82 +61,87 @@
       [30, 60, 90].forEach((s) =>
         day.at(s, () => {
           const members = new Set([day.leader, readHolder(day, 'rent'), readHolder(day, 'return')]);
-          for (const member of members) if (member) day.crash(member, 3000);
+          for (const member of members) if (member) day.crashController(member, 3000);
         }),
       ),
   },
   {
     name: 'all controllers crash, and again during the election',
     injectFaults: (day) =>
-      [40, 46.5].forEach((s) => day.at(s, () => ALL_CONTROLLERS.forEach((c) => day.crash(c, 300)))),
+      [40, 46.5].forEach((s) => day.at(s, () => ALL_CONTROLLERS.forEach((c) => day.crashController(c, 300)))),
   },
   {
     name: 'the state service is down for longer than a lease, and then the cloud',
     injectFaults: (day) => {
-      day.at(40, () => day.state.refused.add('*'));
+      day.at(40, () => day.state.refusedCallers.add('*'));
       day.at(58, () => day.state.endOutage());
-      day.at(70, () => (day.cloud.down = true));
-      day.at(95, () => (day.cloud.down = false));
+      day.at(70, () => (day.cloud.isDown = true));
+      day.at(95, () => (day.cloud.isDown = false));
     },
   },
   {
     name: 'transactions are executed late',
     injectFaults: (day) => {
-      day.at(20, () => (day.state.lateShare = 0.3));
-      day.at(90, () => (day.state.lateShare = 0));
+      day.at(20, () => (day.state.delayedTransactionShare = 0.3));
+      day.at(90, () => (day.state.delayedTransactionShare = 0));
     },
   },
   {
     name: 'a controller without leased roles leads for a while',
-    options: { duties: ['c0', 'c1'] },
+    options: { roleMembers: ['c0', 'c1'] },
     injectFaults: (day) => {
       // Only c2 can lead now, while launches and terminations are in progress.
-      day.at(14, () => ['c0', 'c1'].forEach((c) => day.crash(c, 9000)));
-      day.at(70, () => day.crash('c2', 5000));
-      day.at(100, () => ['c0', 'c1'].forEach((c) => day.crash(c, 9000)));
-      day.at(150, () => day.crash('c2', 12_000));
+      day.at(14, () => ['c0', 'c1'].forEach((c) => day.crashController(c, 9000)));
+      day.at(70, () => day.crashController('c2', 5000));
+      day.at(100, () => ['c0', 'c1'].forEach((c) => day.crashController(c, 9000)));
+      day.at(150, () => day.crashController('c2', 12_000));
     },
   },
 ];
 
 for (const [i, { name, options, injectFaults }] of SCENARIOS.entries())
   test(`leased roles on: ${name}`, async () => {
-    const day = new SimDay(61 + i, {
+    const day = new SimulatedDeployment(61 + i, {
       controllers: 3,
-      machines: 24,
-      scale: 1,
-      duties: ALL_CONTROLLERS,
+      machineCapacity: 24,
+      cpuLimitScale: 1,
+      roleMembers: ALL_CONTROLLERS,
       ...options,
     });
     const mustEnd = submitJobs(day);
     injectFaults(day);
-    day.calmMs = 120_000;
+    day.faultsEndMs = 120_000;
     await day.clock.runUntil(SCENARIO_S * 1000);
-    assert.deepEqual(day.rules.broken, []);
+    assert.deepEqual(day.rules.violations, []);
     assert.deepEqual(
-      mustEnd.filter((job) => !day.isOver(job)).map((job) => job.uid),
+      mustEnd.filter((job) => !day.isFinished(job)).map((job) => job.uid),
       [],
     );
-    assert.ok(day.cloud.rented > 0 && readHolder(day, 'rent') !== undefined);
+    assert.ok(day.cloud.rentedCount > 0 && readHolder(day, 'rent') !== undefined);
   });
 
 test('a node causes few writes over its lifetime, and its intents are deleted', async () => {
-  const day = new SimDay(77, { controllers: 3, machines: 24, scale: 4, duties: ALL_CONTROLLERS });
+  const day = new SimulatedDeployment(77, {
+    controllers: 3,
+    machineCapacity: 24,
+    cpuLimitScale: 4,
+    roleMembers: ALL_CONTROLLERS,
+  });
   for (let i = 0; i < 4; i++) day.at(3 + i * 60, () => day.submit({ tasks: 30, runS: 10 }));
   await day.clock.runUntil(480_000);
-  assert.ok(day.cloud.rented >= 20, `only ${day.cloud.rented} nodes were launched`);
-  const intents = day.state.keys(INTENT_KEY_PREFIX);
+  assert.ok(day.cloud.rentedCount >= 20, `only ${day.cloud.rentedCount} nodes were launched`);
+  const intents = day.state.listKeys(INTENT_KEY_PREFIX);
   assert.ok(intents.length <= 12, `${intents.length} intents left`);
   // Each intent is requested, committed, completed and deleted, and most intents concern several nodes.
-  assert.ok(day.state.writesOf(INTENT_KEY_PREFIX) <= 4 * day.cloud.rented);
+  assert.ok(day.state.countChanges(INTENT_KEY_PREFIX) <= 4 * day.cloud.rentedCount);
 });
 
 test('with leased roles off, the leader record is the same as that of the version in production', () => {
   assert.equal(
     formatJson(encodeLeader({ member: 'hearth-2', term: 12, delegatesCloudCalls: false })),
-    STORED.leader,
+    STORED_VALUES.leader,
   );
-  assert.equal(decodeLeader(JSON.parse(STORED.leader))?.delegatesCloudCalls, false);
+  assert.equal(decodeLeader(JSON.parse(STORED_VALUES.leader))?.delegatesCloudCalls, false);
   assert.equal(
     decodeLeader(encodeLeader({ member: 'a', term: 3, delegatesCloudCalls: true }))?.delegatesCloudCalls,
     true,
@@ -153,14 +164,14 @@
     [jobKey('done'), encodeJobRecord('done'), false],
     [completionSegmentKey('done', 1), 'AA==', true],
     [dependencyKey('done'), ['job-000001'], true],
-    [jobKey('open'), encodeJobRecord('open', jobSpec()), false],
+    [jobKey('open'), encodeJobRecord('open', createJobSpec()), false],
     [completionSegmentKey('open', 1), 'AA==', false],
     [dependencyKey('open'), ['job-000001'], false],
     [jobKey('cancelled'), encodeJobRecord('cancelled'), false],
     // Users can still see how many tasks of a cancelled job were done.
     [completionSegmentKey('cancelled', 1), 'AA==', false],
     [dependencyKey('cancelled'), ['job-000001'], true],
-    [jobKey('stopping'), encodeJobRecord('cancelled', jobSpec()), false],
+    [jobKey('stopping'), encodeJobRecord('cancelled', createJobSpec()), false],
     [dependencyKey('stopping'), ['job-000001'], false],
     // The submission of the job may be in progress.
     [dependencyKey('unknown'), ['job-000001'], false],
--- a/test/duties/settled-cluster.ts
+++ b/test/duties/settled-cluster.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import type { IntentState, Role } from '@pumicehinge/duties';
-import type { DutyAction } from '../../src/simulation/duty-log.js';
+import type { RoleAction } from '../../src/simulation/role-action-log.js';
 import { ModelCluster, PROMPT_DELIVERY } from './model-cluster.js';
 
 export const THREE_CONTROLLERS = ['c0', 'c1', 'c2'];
@@ -16,7 +16,7 @@
   cluster.targetNodes = 0;
   cluster.clock.setTimer(100, () => void cluster.elect('c0'));
   await cluster.clock.runUntil(9_000);
-  assert.ok(!cluster.log.holders().includes(undefined), 'a role has no holder');
+  assert.ok(!cluster.log.getHolders().includes(undefined), 'a role has no holder');
   return cluster;
 }
 
@@ -27,7 +27,7 @@
 
 /** Returns the holder of a role, which must have one. */
 export const requireHolder = (cluster: ModelCluster, role: Role): string => {
-  const holder = cluster.log.holderOf(role);
+  const holder = cluster.log.getHolder(role);
   assert.ok(holder, `nobody holds ${role}`);
   return holder;
 };
@@ -46,11 +46,11 @@
 }
 
 /** Lists the calls to the cloud. */
-export const listCloudCalls = (cluster: ModelCluster): DutyAction[] =>
+export const listCloudCalls = (cluster: ModelCluster): RoleAction[] =>
   cluster.log.actions.filter(({ result }) => result !== 'record');
 
 /** Lists the calls to the cloud by one member. */
-export const listCloudCallsFrom = (cluster: ModelCluster, member: string): DutyAction[] =>
+export const listCloudCallsFrom = (cluster: ModelCluster, member: string): RoleAction[] =>
   listCloudCalls(cluster).filter(({ sender }) => sender === member);
 
 /** A failure in a settled cluster. At its end no rule may be broken, and nothing may be unfinished. */
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '../src/state/records.js';
 
 /** Returns a valid job description with the given fields replaced. */
-export function jobSpec(fields: Partial<JobSpec> = {}): JobSpec {
+export function createJobSpec(fields: Partial<JobSpec> = {}): JobSpec {
   return {
     uid: 'job-000001',
     jobClass: 'batch',
@@ -28,7 +28,7 @@
 }
 
 /** A valid platform settings file in TOML. */
-export const SETTINGS = `
+export const PLATFORM_SETTINGS = `
 member = "a"
 domain = "z"
 public_addr = "127.0.0.1:80"
--- a/test/golden/controller-harness.ts
+++ b/test/golden/controller-harness.ts
@@ -9,7 +9,7 @@
 import { encodeFrame } from '../../src/peers/peer-frames.js';
 import type { Settings } from '../../src/settings.js';
 import { divideSockets } from '../../src/sizing.js';
-import { SimStateService } from '../../src/simulation/state-service.js';
+import { SimulatedStateService } from '../../src/simulation/state-service.js';
 import { formatCall, type RecordedCall } from './recording-caller.js';
 
 /** Simulated time between a request and its response. */
@@ -64,7 +64,7 @@
  */
 export class ControllerHarness {
   readonly clock = new SimulatedClock();
-  readonly stateStore: SimStateService;
+  readonly stateStore: SimulatedStateService;
   /** All requests except reads of the state store, each as one line, in the order in which they were sent. */
   readonly calls: string[] = [];
   /** The frames to peers in the order in which they were sent: the name of the peer, a space and the bytes in hex. */
@@ -80,7 +80,7 @@
   private randomState = 1;
 
   constructor(respond: ExternalResponder = () => undefined, settings: Partial<Settings> = {}) {
-    this.stateStore = new SimStateService(this.clock, () => 0.5);
+    this.stateStore = new SimulatedStateService(this.clock, () => 0.5);
     const httpClient: HttpClient = {
       call: (address, method, target, body, timeoutMs) =>
         this.handleCall({ address, method, target, body }, timeoutMs, respond),
--- a/test/golden/follower-fixture.ts
+++ b/test/golden/follower-fixture.ts
@@ -13,7 +13,7 @@
   TERM_KEY,
   type JobRecord,
 } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { ControllerHarness } from './controller-harness.js';
 
 /** Time within which a controller has loaded the state store. */
@@ -44,10 +44,10 @@
   firstCompletionSegment: '',
 };
 
-const createOpenJob = (uid: string, fields: Parameters<typeof jobSpec>[0] = {}): JobRecord => ({
+const createOpenJob = (uid: string, fields: Parameters<typeof createJobSpec>[0] = {}): JobRecord => ({
   ...OPEN_JOB,
   taskCount: fields.tasks ?? OPEN_JOB.taskCount,
-  spec: jobSpec({ uid, ...fields }),
+  spec: createJobSpec({ uid, ...fields }),
 });
 
 /** The uids of the stored jobs, by the property for which tests use them. */
--- a/test/golden/leader-conversation.test.ts
+++ b/test/golden/leader-conversation.test.ts
@@ -160,7 +160,7 @@
   const harness = new ControllerHarness();
   harness.start();
   await harness.advance(5_000);
-  harness.stateStore.refused.add('*');
+  harness.stateStore.refusedCallers.add('*');
   const findVoteRequests = (): PeerMessage[] =>
     findMessagesTo(harness, 'hearth-1').filter((message) => message.kind === 'leaseVoteRequest');
   for (let elapsedMs = 0; findVoteRequests().length === 0; elapsedMs += 10) {
--- a/test/golden/peer-frames.test.ts
+++ b/test/golden/peer-frames.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import { encodeJob, jobKey } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { GoldenForms } from './golden-forms.js';
 import { encodeRawFrameHex, encodeFrameHex, decodeFramesHex } from './peer-frame-hex.js';
 
@@ -14,7 +14,7 @@
 const CANCELLED_JOB_VALUE = encodeJob({
   phase: 'cancelled',
   taskCount: 4,
-  spec: jobSpec(),
+  spec: createJobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'E',
   isSuccessorRunning: false,
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -7,7 +7,7 @@
 import * as records from '../../src/state/records.js';
 import { CompletionBitmap } from '../../src/state/completion-bitmap.js';
 import { formatJson, parseJson } from '../../src/wire/json.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { readForms } from './golden-forms.js';
 import { encodeRawFrameHex, encodeFrameHex, decodeFramesHex } from './peer-frame-hex.js';
 
@@ -31,14 +31,14 @@
 const OPEN_JOB: records.JobRecord = {
   phase: 'open',
   taskCount: 4,
-  spec: jobSpec(),
+  spec: createJobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'NN',
   isSuccessorRunning: false,
   firstCompletionSegment: '',
 };
 
-const SERVICE_SPEC = jobSpec({
+const SERVICE_SPEC = createJobSpec({
   uid: 'job-312747',
   jobClass: 'league-tables',
   team: 'quizmaster-tools',
@@ -83,7 +83,7 @@
     firstCompletionSegment: 'AQ==',
   },
   ...Object.fromEntries(
-    records.RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }]),
+    records.RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: createJobSpec({ rank }) }]),
   ),
 };
 
--- a/test/golden/stored-jobs.test.ts
+++ b/test/golden/stored-jobs.test.ts
@@ -17,7 +17,7 @@
 } from '../../src/state/records.js';
 import { CompletionBitmap } from '../../src/state/completion-bitmap.js';
 import { formatJson, parseJson } from '../../src/wire/json.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { GoldenForms, testRoundTrips } from './golden-forms.js';
 
 const forms = new GoldenForms('stored-jobs');
@@ -25,7 +25,7 @@
 const OPEN_JOB: JobRecord = {
   phase: 'open',
   taskCount: 4,
-  spec: jobSpec(),
+  spec: createJobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'N',
   isSuccessorRunning: false,
@@ -35,7 +35,7 @@
 /** A job whose description was removed after it ended. */
 const JOB_WITHOUT_SPEC: JobRecord = { ...OPEN_JOB, spec: undefined };
 
-const FULL_SPEC = jobSpec({
+const FULL_SPEC = createJobSpec({
   uid: 'job-312747',
   jobClass: 'league-tables',
   team: 'quizmaster-tools',
@@ -65,11 +65,11 @@
   'preferred member failed': { ...OPEN_JOB, memberStates: 'FE' },
   'successor runs': { ...OPEN_JOB, memberStates: 'E', isSuccessorRunning: true },
   'some tasks finished': { ...OPEN_JOB, memberStates: 'E', firstCompletionSegment: 'Bw==' },
-  'one dependency': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000007'] }) },
-  'two dependencies': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000008', 'job-000007'] }) },
+  'one dependency': { ...OPEN_JOB, spec: createJobSpec({ dependencies: ['job-000007'] }) },
+  'two dependencies': { ...OPEN_JOB, spec: createJobSpec({ dependencies: ['job-000008', 'job-000007'] }) },
   'dependencies in keys of their own': {
     ...OPEN_JOB,
-    spec: jobSpec({ dependencyList: { id: '1z4k9', parts: 3 } }),
+    spec: createJobSpec({ dependencyList: { id: '1z4k9', parts: 3 } }),
   },
   done: { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'S', finishedMs: 1_790_000_102_623 },
   'done, as a former version wrote it': { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'SN' },
@@ -87,7 +87,9 @@
     memberStates: 'E',
     firstCompletionSegment: 'AQ==',
   },
-  ...Object.fromEntries(RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }])),
+  ...Object.fromEntries(
+    RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: createJobSpec({ rank }) }]),
+  ),
 };
 
 const encodeRecord = (record: JobRecord): string => formatJson(encodeJob(record));
@@ -177,7 +179,7 @@
   const uids = ['job-000001', 'job-000002', 'job-000003', 'job-4', 'job-0000000005'];
   const parts = splitByEncodedSize(uids, 40);
   parts.forEach((part, index) => forms.check(`dependency list, part ${index}`, formatJson(part)));
-  const spec = jobSpec({ dependencyList: { id: 'a1', parts: parts.length } });
+  const spec = createJobSpec({ dependencyList: { id: 'a1', parts: parts.length } });
   const storedParts = parts.map((_, index) => parseJson(forms.getText(`dependency list, part ${index}`)));
   const getStoredPart = (key: string): unknown => storedParts[Number(key.split('-').at(-1))];
   assert.deepEqual(readDependencies(spec, getStoredPart), uids);
--- a/test/golden/user-answers.test.ts
+++ b/test/golden/user-answers.test.ts
@@ -192,7 +192,7 @@
 
 test('the state store serves no controller: users are told to retry later, but final phases are still reported', async () => {
   const harness = await startFollower();
-  harness.stateStore.refused.add('*');
+  harness.stateStore.refusedCallers.add('*');
   await harness.advance(STATE_UNAVAILABLE_AFTER_MS * 4);
   harness.receiveFromPeer('hearth-1', { kind: 'status', isEligible: false, relayTarget: 'hearth-1' });
   for (const [name, request] of [
@@ -207,7 +207,7 @@
 
 test('the state store serves only another controller: users are told to retry on a new connection', async () => {
   const harness = await startFollower();
-  harness.stateStore.refused.add('*');
+  harness.stateStore.refusedCallers.add('*');
   await harness.advance(STATE_UNAVAILABLE_AFTER_MS * 4);
   harness.receiveFromPeer('hearth-1', { kind: 'status', isEligible: true, relayTarget: 'hearth-1' });
   await harness.advance(1);
@@ -234,7 +234,7 @@
 
 test('too many users are waiting: further users are told to retry later', async () => {
   const harness = await startFollower();
-  harness.stateStore.slowMs = () => 60_000;
+  harness.stateStore.drawDelayMs = () => 60_000;
   const waitingRequests = Array.from({ length: MAX_USER_REQUESTS_IN_PROGRESS }, () =>
     harness.startRequest(...(createPollRequest(JOB_UIDS.pending) as [string, string])),
   );
--- a/test/golden/worker-answers.test.ts
+++ b/test/golden/worker-answers.test.ts
@@ -36,7 +36,7 @@
 
 test('no leader is known: the worker is told to try another controller', async () => {
   const harness = new ControllerHarness();
-  harness.stateStore.refused.add('*');
+  harness.stateStore.refusedCallers.add('*');
   harness.start();
   await harness.advance(500);
   forms.check('no leader', await harness.sendRequest('POST', '/v1/report', HEARTBEAT_BODY));
@@ -131,7 +131,7 @@
 
 test('a leader that the state store does not serve receives the cancellations and the lease votes', async () => {
   const harness = await startFollower();
-  harness.stateStore.refused.add('*');
+  harness.stateStore.refusedCallers.add('*');
   await harness.advance(4_000);
   const firstFrameIndex = harness.sentFrames.length;
   harness.receiveFromPeer('hearth-1', {
--- a/test/leader/job-store.test.ts
+++ b/test/leader/job-store.test.ts
@@ -8,7 +8,7 @@
 import type { StateReplica } from '../../src/state/state-replica.js';
 import { completionSegmentKey, encodeJob, JOBS_PREFIX, jobKey } from '../../src/state/records.js';
 import type { TransactionBatcher, CommitResult } from '../../src/state/transaction-batcher.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 /** Creates a job store with one large job array. Its state store is a map. */
 function createJobStoreFixture() {
@@ -20,7 +20,7 @@
   const record = {
     phase: 'open' as const,
     taskCount: tasks,
-    spec: jobSpec({ tasks }),
+    spec: createJobSpec({ tasks }),
     acceptedMs: 0,
     memberStates: 'E',
   };
--- a/test/pipeline/job-pipeline.test.ts
+++ b/test/pipeline/job-pipeline.test.ts
@@ -6,7 +6,7 @@
   type DeadlineObjective,
 } from '../../src/pipeline/job-pipeline.js';
 import { findExecutableMembers, getExpiryAgeS, getCompletionValue } from '../../src/pipeline/pipeline.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 test('the specification of a job and the objectives of its class determine its pipeline', () => {
   const objectives: DeadlineObjective[] = [
@@ -15,7 +15,7 @@
     { jobClass: 'other', share: 0.8, deadlineFactor: 9 },
   ];
   const cases: [
-    fields: Parameters<typeof jobSpec>[0],
+    fields: Parameters<typeof createJobSpec>[0],
     isSuccessor: boolean,
     expiryAgeS: number | null,
     acceptableStates: string[],
@@ -26,12 +26,12 @@
     [{ spot: true, deadlineS: 100 }, true, null, ['SN', 'FS']],
   ];
   for (const [fields, isSuccessor, expiryAgeS, acceptableStates] of cases) {
-    const spec = jobSpec(fields);
+    const spec = createJobSpec(fields);
     const pipeline = isSuccessor ? createSuccessorPipeline(spec) : createJobPipeline(spec, objectives);
     assert.equal(getExpiryAgeS(pipeline), expiryAgeS);
     assert.deepEqual(pipeline.acceptableStates, acceptableStates);
   }
-  const pipelineWithDeadline = createJobPipeline(jobSpec({ spot: true, deadlineS: 100 }), objectives);
+  const pipelineWithDeadline = createJobPipeline(createJobSpec({ spot: true, deadlineS: 100 }), objectives);
   assert.deepEqual(findExecutableMembers(pipelineWithDeadline, 'NN'), ['spot']);
   assert.deepEqual(findExecutableMembers(pipelineWithDeadline, 'FN'), ['any']);
   assert.deepEqual(
--- a/test/pipeline/job.test.ts
+++ b/test/pipeline/job.test.ts
@@ -7,10 +7,10 @@
 } from '../../src/constants.js';
 import { Job } from '../../src/pipeline/job.js';
 import type { JobRecord, JobSpec } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 function createJob(specFields: Partial<JobSpec> = {}, recordFields: Partial<JobRecord> = {}) {
-  const spec = jobSpec(specFields);
+  const spec = createJobSpec(specFields);
   const record: JobRecord = {
     phase: 'open',
     taskCount: spec.tasks,
--- a/test/former.ts
+++ b/test/production-version.ts
@@ -8,7 +8,7 @@
  */
 
 /** Values that the version in production wrote into the state service. */
-export const STORED = {
+export const STORED_VALUES = {
   open:
     '{"p":"o","n":4,"t":1790000002622,"x":"EN","u":0,"d":"Bw==","s":{"uid":"job-312747","cohort":"league-tables",' +
     '"team":"quizmaster-tools","kind":"array","rank":"standard","tasks":4,"cpus":4,"accelerators":0,"memGb":8.8,' +
--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test from 'node:test';
-import { SETTINGS } from './fixtures.js';
+import { PLATFORM_SETTINGS } from './fixtures.js';
 
 /** Runs the built program, with the generated validators and the code cache. */
 function runProgram(...args: string[]): { status: number | null; lines: string[] } {
@@ -19,16 +19,23 @@
     writeFileSync(join(folder, name), text);
     return join(folder, name);
   };
-  const validFile = writeSettingsFile('good.toml', SETTINGS);
+  const validFile = writeSettingsFile('good.toml', PLATFORM_SETTINGS);
   const cases: [args: string[], status: number, message: RegExp][] = [
     [['--config', join(folder, 'none.toml')], 2, /none\.toml: ENOENT/],
     [['--config', writeSettingsFile('broken.toml', 'member = ')], 2, /broken\.toml: /],
     [
-      ['--config', writeSettingsFile('type.toml', SETTINGS.replace('lease_s = 14.0', 'lease_s = "x"'))],
+      [
+        '--config',
+        writeSettingsFile('type.toml', PLATFORM_SETTINGS.replace('lease_s = 14.0', 'lease_s = "x"')),
+      ],
       2,
       /lease_s must be/,
     ],
-    [['--config', writeSettingsFile('lacking.toml', SETTINGS.replace('member = "a"', ''))], 2, /'member'/],
+    [
+      ['--config', writeSettingsFile('lacking.toml', PLATFORM_SETTINGS.replace('member = "a"', ''))],
+      2,
+      /'member'/,
+    ],
     [
       ['--config', validFile, '--operator', writeSettingsFile('o.json', '{"idleKeepS": -1}')],
       2,
--- a/test/scheduler/node-scoring.test.ts
+++ b/test/scheduler/node-scoring.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { ClusterState } from '../../src/cluster/cluster-state.js';
 import { scoreNodes } from '../../src/scheduler/node-scoring.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 test('a job that avoids spot nodes gets on-demand nodes first, and any other job gets spot nodes first', () => {
   const clusterState = new ClusterState({
@@ -20,7 +20,7 @@
     [false, 'spot'],
   ] as const) {
     const request = {
-      spec: jobSpec({ spot: true }),
+      spec: createJobSpec({ spot: true }),
       allocationsPerZone: new Map<string, number>(),
       avoidsSpot,
       avoidedNodeNames: new Set<string>(),
--- a/test/scheduler/placement-constraints.test.ts
+++ b/test/scheduler/placement-constraints.test.ts
@@ -6,7 +6,7 @@
   countFittingTasks,
 } from '../../src/scheduler/placement-constraints.js';
 import type { JobSpec } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { SMALL_INSTANCE_TYPE } from '../support/scheduling-fixtures.js';
 
 test('a task runs only on the instance types, zones and kinds of nodes that its job allows', () => {
@@ -20,7 +20,7 @@
     [{ spot: true }, { ...defaultTarget, spot: true }, true],
   ];
   for (const [fields, target, isAllowed] of cases)
-    assert.equal(satisfiesConstraints(jobSpec(fields), target), isAllowed);
+    assert.equal(satisfiesConstraints(createJobSpec(fields), target), isAllowed);
 });
 
 test('whether a job with zone spread or a single zone may use a zone depends on its other tasks', () => {
@@ -41,11 +41,17 @@
     [{ singleZone: true }, { a: 1, b: 1 }, 'a', false],
   ];
   for (const [fields, allocationsPerZone, zone, isAllowed] of cases)
-    assert.equal(allowsZone(jobSpec(fields), new Map(Object.entries(allocationsPerZone)), zone), isAllowed);
+    assert.equal(
+      allowsZone(createJobSpec(fields), new Map(Object.entries(allocationsPerZone)), zone),
+      isAllowed,
+    );
 });
 
 test('the scarcest resource limits the number of tasks that fit', () => {
-  assert.equal(countFittingTasks(jobSpec({ cpus: 2, memGb: 7.6 }), SMALL_INSTANCE_TYPE), 2);
-  assert.equal(countFittingTasks(jobSpec({ cpus: 0.1, memGb: 0 }), { ...SMALL_INSTANCE_TYPE, cpus: 0.3 }), 3);
-  assert.equal(countFittingTasks(jobSpec({ accelerators: 1 }), SMALL_INSTANCE_TYPE), 0);
+  assert.equal(countFittingTasks(createJobSpec({ cpus: 2, memGb: 7.6 }), SMALL_INSTANCE_TYPE), 2);
+  assert.equal(
+    countFittingTasks(createJobSpec({ cpus: 0.1, memGb: 0 }), { ...SMALL_INSTANCE_TYPE, cpus: 0.3 }),
+    3,
+  );
+  assert.equal(countFittingTasks(createJobSpec({ accelerators: 1 }), SMALL_INSTANCE_TYPE), 0);
 });
--- a/test/scheduler/queue-order.test.ts
+++ b/test/scheduler/queue-order.test.ts
@@ -6,7 +6,7 @@
   type QueuedJob,
 } from '../../src/scheduler/queue-order.js';
 import type { JobSpec } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { BLUE_TEAM_QUOTA, RED_TEAM_QUOTA } from '../support/scheduling-fixtures.js';
 
 interface NamedJob extends QueuedJob {
@@ -20,7 +20,7 @@
   dueMs: number,
   fields: Partial<JobSpec> = {},
 ): NamedJob {
-  const spec = jobSpec({ cpus: 2, tasks: 2, ...fields });
+  const spec = createJobSpec({ cpus: 2, tasks: 2, ...fields });
   const earliestDeadlineMs = spec.deadlineS === null ? Infinity : acceptedMs + spec.deadlineS * 1000;
   return {
     name,
--- a/test/scheduler/unschedulable-requests.test.ts
+++ b/test/scheduler/unschedulable-requests.test.ts
@@ -2,12 +2,12 @@
 import { test } from 'node:test';
 import { UnschedulableRequests } from '../../src/scheduler/unschedulable-requests.js';
 import type { JobSpec } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 // Among hundreds of similar waiting jobs, only the first one may cause a search through the nodes.
 test('an unschedulable request covers all requests that need at least as much under the same constraints', () => {
   const unschedulableRequests = new UnschedulableRequests();
-  unschedulableRequests.record(jobSpec({ cpus: 2, memGb: 8, spot: true }));
+  unschedulableRequests.record(createJobSpec({ cpus: 2, memGb: 8, spot: true }));
   const cases: [name: string, fields: Partial<JobSpec>, isCovered: boolean][] = [
     ['the same request', { cpus: 2, memGb: 8, spot: true }, true],
     ['more CPUs', { cpus: 4, memGb: 8, spot: true }, true],
@@ -18,5 +18,5 @@
     ['limited to one instance type', { cpus: 2, memGb: 8, spot: true, instanceTypes: ['small'] }, false],
   ];
   for (const [name, fields, isCovered] of cases)
-    assert.equal(unschedulableRequests.covers(jobSpec(fields)), isCovered, name);
+    assert.equal(unschedulableRequests.covers(createJobSpec(fields)), isCovered, name);
 });
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ClusterState } from '../src/cluster/cluster-state.js';
-import { SimDay } from '../src/simulation/day.js';
-import type { SimJob } from '../src/simulation/rules.js';
+import { SimulatedDeployment } from '../src/simulation/simulated-deployment.js';
+import type { SimulatedJob } from '../src/simulation/rule-checker.js';
 
 const DURATION_S = 240;
 
 /** Submits jobs of every kind during the first minutes. Returns the arrays, which must finish. */
-function submitWorkload(deployment: SimDay): SimJob[] {
-  const jobsToFinish: SimJob[] = [];
-  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
+function submitWorkload(deployment: SimulatedDeployment): SimulatedJob[] {
+  const jobsToFinish: SimulatedJob[] = [];
+  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, zoneSpread: true }));
   for (let i = 0; i < 10; i++) {
     deployment.at(5 + i * 12, () => {
       jobsToFinish.push(
@@ -17,7 +17,7 @@
           tasks: 1 + ((i * 3) % 7),
           runS: 8 + i,
           spot: i % 2 === 0,
-          dueS: i % 3 ? 40 : null,
+          deadlineS: i % 3 ? 40 : null,
         }),
       );
     });
@@ -27,34 +27,42 @@
   return jobsToFinish;
 }
 
-const getFirstHost = (deployment: SimDay): string | undefined => [...deployment.cloud.hosts.keys()][0];
+const getFirstHost = (deployment: SimulatedDeployment): string | undefined =>
+  [...deployment.cloud.machines.keys()][0];
 
-function dropInboundOfFirstHosts(deployment: SimDay, count: number): void {
-  for (const host of [...deployment.cloud.hosts.keys()].slice(0, count)) deployment.network.dropInbound(host);
+function dropInboundOfFirstHosts(deployment: SimulatedDeployment, count: number): void {
+  for (const host of [...deployment.cloud.machines.keys()].slice(0, count))
+    deployment.network.dropInbound(host);
 }
 
 /** Faults, and the seconds at which they occur. In spite of them every rule must hold and every array must finish. */
-const FAULT_SCENARIOS: { name: string; injectFaults: (deployment: SimDay) => void; faultsEndS?: number }[] = [
+const FAULT_SCENARIOS: {
+  name: string;
+  injectFaults: (deployment: SimulatedDeployment) => void;
+  faultsEndS?: number;
+}[] = [
   { name: 'no fault', injectFaults: () => undefined },
   {
     name: 'controllers crash one after the other',
     injectFaults: (deployment) =>
       ['c0', 'c1', 'c2'].forEach((member, i) =>
-        deployment.at(40 + i * 15, () => deployment.crash(member, 4000)),
+        deployment.at(40 + i * 15, () => deployment.crashController(member, 4000)),
       ),
   },
   {
     name: 'all controllers crash at once, and again during the election',
     injectFaults: (deployment) =>
       [40, 46.5].forEach((atS) =>
-        deployment.at(atS, () => ['c0', 'c1', 'c2'].forEach((member) => deployment.crash(member, 300))),
+        deployment.at(atS, () =>
+          ['c0', 'c1', 'c2'].forEach((member) => deployment.crashController(member, 300)),
+        ),
       ),
   },
   {
     name: 'the state service is down for longer than a lease, with a crash',
     injectFaults: (deployment) => {
-      deployment.at(50, () => deployment.state.refused.add('*'));
-      deployment.at(64, () => deployment.crash('c1', 4000));
+      deployment.at(50, () => deployment.state.refusedCallers.add('*'));
+      deployment.at(64, () => deployment.crashController('c1', 4000));
       deployment.at(75, () => deployment.state.endOutage());
     },
   },
@@ -62,14 +70,14 @@
     name: 'the state service refuses one controller after the other',
     injectFaults: (deployment) =>
       ['c0', 'c1', 'c2'].forEach((member, i) => {
-        deployment.at(40 + i * 30, () => deployment.state.refused.add(member));
-        deployment.at(55 + i * 30, () => deployment.state.refused.delete(member));
+        deployment.at(40 + i * 30, () => deployment.state.refusedCallers.add(member));
+        deployment.at(55 + i * 30, () => deployment.state.refusedCallers.delete(member));
       }),
   },
   {
     name: 'controllers are partitioned from each other during a state service outage',
     injectFaults: (deployment) => {
-      deployment.at(45, () => deployment.state.refused.add('*'));
+      deployment.at(45, () => deployment.state.refusedCallers.add('*'));
       deployment.at(50, () => deployment.network.partition('c0', 'c1'));
       deployment.at(50, () => deployment.network.partition('c0', 'c2'));
       deployment.at(58, () => deployment.state.endOutage());
@@ -80,7 +88,7 @@
     name: 'machines are partitioned from every controller, and their messages arrive late',
     injectFaults: (deployment) => {
       deployment.at(45, () => {
-        for (const host of [...deployment.cloud.hosts.keys()].slice(0, 4))
+        for (const host of [...deployment.cloud.machines.keys()].slice(0, 4))
           for (const member of ['c0', 'c1', 'c2']) deployment.network.partition(host, member);
       });
       deployment.at(80, () => deployment.network.heal());
@@ -91,21 +99,21 @@
     injectFaults: (deployment) =>
       [8, 14].forEach((durationS, i) => {
         deployment.at(40 + i * 40, () => {
-          const worker = [...deployment.cloud.hosts.values()].find((host) => host.worker)?.worker;
+          const worker = [...deployment.cloud.machines.values()].find((host) => host.worker)?.worker;
           if (!worker) return;
-          worker.hanging = true;
-          deployment.at(40 + i * 40 + durationS, () => (worker.hanging = false));
+          worker.isHanging = true;
+          deployment.at(40 + i * 40 + durationS, () => (worker.isHanging = false));
         });
       }),
   },
   {
     name: 'zones are partitioned from each other, with a cancellation and a crash during the partition',
     injectFaults: (deployment) => {
-      deployment.at(45, () => deployment.network.cutZones());
+      deployment.at(45, () => deployment.network.partitionZones());
       deployment.at(50, () => deployment.submit({ team: 'red', tasks: 4, runS: 90 }, 5));
-      deployment.at(70, () => deployment.crash('c2', 3000));
+      deployment.at(70, () => deployment.crashController('c2', 3000));
       deployment.at(85, () => deployment.network.heal());
-      deployment.at(120, () => deployment.network.cutZones());
+      deployment.at(120, () => deployment.network.partitionZones());
       deployment.at(180, () => deployment.network.heal());
     },
   },
@@ -114,18 +122,18 @@
     injectFaults: (deployment) => {
       deployment.at(45, () => dropInboundOfFirstHosts(deployment, 4));
       deployment.at(52, () => deployment.submit({ team: 'red', tasks: 4, runS: 90 }, 3));
-      deployment.at(56, () => deployment.crash('c1', 3000));
-      deployment.at(80, () => deployment.crash('c0', 300));
+      deployment.at(56, () => deployment.crashController('c1', 3000));
+      deployment.at(80, () => deployment.crashController('c0', 300));
       deployment.at(90, () => deployment.network.heal());
     },
   },
   {
     name: 'machines receive nothing while the cloud is down and cannot terminate them',
     injectFaults: (deployment) => {
-      deployment.at(45, () => (deployment.cloud.down = true));
+      deployment.at(45, () => (deployment.cloud.isDown = true));
       deployment.at(46, () => dropInboundOfFirstHosts(deployment, 5));
-      deployment.at(60, () => deployment.crash('c2', 2000));
-      deployment.at(85, () => (deployment.cloud.down = false));
+      deployment.at(60, () => deployment.crashController('c2', 2000));
+      deployment.at(85, () => (deployment.cloud.isDown = false));
       deployment.at(95, () => deployment.network.heal());
     },
   },
@@ -133,17 +141,17 @@
     name: 'late duplicates of all reports arrive, with crashes, an outage, a partition and a terminated machine',
     injectFaults: (deployment) => {
       const duplicateReports = (): void => {
-        for (const host of deployment.cloud.hosts.keys())
+        for (const host of deployment.cloud.machines.keys())
           deployment.network.duplicateRequests(host, () => 2_000 + deployment.random() * 40_000);
       };
       for (const atS of [8, 20, 40, 60, 80]) deployment.at(atS, duplicateReports);
-      deployment.at(40, () => deployment.cloud.take(getFirstHost(deployment) ?? ''));
+      deployment.at(40, () => deployment.cloud.terminate(getFirstHost(deployment) ?? ''));
       ['c0', 'c1', 'c2'].forEach((member, i) =>
-        deployment.at(50 + i * 12, () => deployment.crash(member, 200)),
+        deployment.at(50 + i * 12, () => deployment.crashController(member, 200)),
       );
-      deployment.at(90, () => deployment.state.refused.add('*'));
+      deployment.at(90, () => deployment.state.refusedCallers.add('*'));
       deployment.at(100, () => deployment.state.endOutage());
-      deployment.at(110, () => deployment.network.cutZones());
+      deployment.at(110, () => deployment.network.partitionZones());
       deployment.at(125, () => deployment.network.heal());
     },
   },
@@ -164,40 +172,48 @@
     injectFaults: (deployment) => {
       for (let i = 0; i < 12; i++)
         deployment.at(40 + i * 3.1, () =>
-          deployment.crash(deployment.members[i % 3]!, 50 + deployment.random() * 300),
+          deployment.crashController(deployment.members[i % 3]!, 50 + deployment.random() * 300),
         );
-      deployment.at(90, () => deployment.members.forEach((member) => deployment.crash(member, 100)));
-      deployment.at(91.7, () => deployment.members.forEach((member) => deployment.crash(member, 100)));
-      deployment.at(93.5, () => deployment.members.forEach((member) => deployment.crash(member, 100)));
+      deployment.at(90, () =>
+        deployment.members.forEach((member) => deployment.crashController(member, 100)),
+      );
+      deployment.at(91.7, () =>
+        deployment.members.forEach((member) => deployment.crashController(member, 100)),
+      );
+      deployment.at(93.5, () =>
+        deployment.members.forEach((member) => deployment.crashController(member, 100)),
+      );
     },
   },
   {
     name: 'machines restart without delay with their counters reset, and late duplicates of their earlier reports arrive',
     injectFaults: (deployment) => {
       deployment.at(10, () => {
-        for (const host of deployment.cloud.hosts.keys())
+        for (const host of deployment.cloud.machines.keys())
           deployment.network.duplicateRequests(host, () => 2_000 + deployment.random() * 20_000);
       });
       for (const atS of [45, 60, 75])
         deployment.at(atS, () =>
-          [...deployment.cloud.hosts.values()].slice(0, 2).forEach((host) => host.worker?.restart()),
+          [...deployment.cloud.machines.values()].slice(0, 2).forEach((host) => host.worker?.restart()),
         );
-      deployment.at(62, () => deployment.crash('c0', 200));
+      deployment.at(62, () => deployment.crashController('c0', 200));
     },
   },
   {
     name: 'controllers pause, and their last messages arrive after the pause',
     injectFaults: (deployment) => {
       [3_000, 6_000, 20_000].forEach((pauseMs, i) =>
-        deployment.at(35 + i * 25, () => deployment.freeze(deployment.leader ?? 'c0', pauseMs)),
+        deployment.at(35 + i * 25, () => deployment.pauseController(deployment.leader ?? 'c0', pauseMs)),
       );
       // Pauses every controller in turn, whatever it does: stand for election, vote, relay, or hold delegated leases.
-      deployment.at(110, () => deployment.members.forEach((member) => deployment.crash(member, 100)));
+      deployment.at(110, () =>
+        deployment.members.forEach((member) => deployment.crashController(member, 100)),
+      );
       deployment.members.forEach((member, i) =>
-        deployment.at(111.7 + i / 4, () => deployment.freeze(member, 2_000 + i * 1_500)),
+        deployment.at(111.7 + i / 4, () => deployment.pauseController(member, 2_000 + i * 1_500)),
       );
-      deployment.at(130, () => deployment.state.refused.add('*'));
-      deployment.at(134, () => deployment.freeze(deployment.leader ?? 'c0', 4_000));
+      deployment.at(130, () => deployment.state.refusedCallers.add('*'));
+      deployment.at(134, () => deployment.pauseController(deployment.leader ?? 'c0', 4_000));
       deployment.at(140, () => deployment.state.endOutage());
     },
     faultsEndS: 150,
@@ -205,10 +221,10 @@
   {
     name: 'machines are lost while the cloud is down',
     injectFaults: (deployment) => {
-      deployment.at(45, () => (deployment.cloud.down = true));
+      deployment.at(45, () => (deployment.cloud.isDown = true));
       for (const atS of [46, 50, 70])
-        deployment.at(atS, () => deployment.cloud.take(getFirstHost(deployment) ?? ''));
-      deployment.at(80, () => (deployment.cloud.down = false));
+        deployment.at(atS, () => deployment.cloud.terminate(getFirstHost(deployment) ?? ''));
+      deployment.at(80, () => (deployment.cloud.isDown = false));
     },
   },
 ];
@@ -216,15 +232,15 @@
 for (const { name, injectFaults, faultsEndS = 130 } of FAULT_SCENARIOS) {
   for (const seed of [1, 2]) {
     test(`rules hold: ${name} (seed ${seed})`, async () => {
-      const deployment = new SimDay(seed);
+      const deployment = new SimulatedDeployment(seed);
       const jobs = submitWorkload(deployment);
       injectFaults(deployment);
       await deployment.clock.runUntil(DURATION_S * 1000);
       deployment.rules.checkServed(faultsEndS * 1000);
-      assert.deepEqual(deployment.rules.broken, []);
+      assert.deepEqual(deployment.rules.violations, []);
       assert.ok(deployment.rules.startCount > 30, `only ${deployment.rules.startCount} tasks started`);
       assert.deepEqual(
-        jobs.filter((job) => !deployment.isOver(job)).map((job) => job.uid),
+        jobs.filter((job) => !deployment.isFinished(job)).map((job) => job.uid),
         [],
       );
     });
@@ -232,32 +248,32 @@
 }
 
 test('a leader that is partitioned only from the machines gives way before their leases expire', async () => {
-  const deployment = new SimDay(4);
+  const deployment = new SimulatedDeployment(4);
   submitWorkload(deployment);
   // Partitions every controller in turn, so that the leader is among them, for long enough that leases could expire.
   ['c0', 'c1', 'c2'].forEach((member, i) => {
     deployment.at(50 + i * 40, () => {
-      for (const host of deployment.cloud.hosts.keys()) deployment.network.partition(member, host);
+      for (const host of deployment.cloud.machines.keys()) deployment.network.partition(member, host);
     });
     deployment.at(70 + i * 40, () => deployment.network.heal());
   });
   await deployment.clock.runUntil(180_000);
-  assert.deepEqual(deployment.rules.broken, []);
+  assert.deepEqual(deployment.rules.violations, []);
   assert.equal(deployment.rules.tasksKilledByLeaseExpiry, 0);
 });
 
 test('a partition between the zones ends no task, because a deputy holds the leases', async () => {
-  const deployment = new SimDay(3);
+  const deployment = new SimulatedDeployment(3);
   submitWorkload(deployment);
-  deployment.at(60, () => deployment.network.cutZones());
+  deployment.at(60, () => deployment.network.partitionZones());
   deployment.at(100, () => deployment.network.heal());
   await deployment.clock.runUntil(130_000);
-  assert.deepEqual(deployment.rules.broken, []);
+  assert.deepEqual(deployment.rules.violations, []);
   assert.equal(deployment.rules.tasksKilledByLeaseExpiry, 0);
 });
 
 test('a machine that receives nothing gets no more tasks and is replaced', async () => {
-  const deployment = new SimDay(5);
+  const deployment = new SimulatedDeployment(5);
   submitWorkload(deployment);
   let name: string | undefined;
   deployment.at(50, () => {
@@ -265,39 +281,39 @@
     deployment.network.dropInbound(name ?? '');
   });
   await deployment.clock.runUntil(50_000 + 45_000);
-  assert.deepEqual(deployment.rules.broken, []);
-  assert.ok(name !== undefined && !deployment.cloud.hosts.has(name), 'the machine is still rented');
+  assert.deepEqual(deployment.rules.violations, []);
+  assert.ok(name !== undefined && !deployment.cloud.machines.has(name), 'the machine is still rented');
 });
 
 test('the machine of a worker that restarted is replaced', async () => {
-  const deployment = new SimDay(6);
+  const deployment = new SimulatedDeployment(6);
   submitWorkload(deployment);
   let name: string | undefined;
   deployment.at(50, () => {
     // Chooses a machine that runs a task, because an idle machine may be returned anyway.
     name = [...deployment.rules.jobs.values()].flatMap((tracked) => [...tracked.runningTasks.values()])[0]
       ?.node;
-    deployment.cloud.hosts.get(name ?? '')?.worker?.restart();
+    deployment.cloud.machines.get(name ?? '')?.worker?.restart();
   });
   await deployment.clock.runUntil(50_000 + 10_000);
-  assert.deepEqual(deployment.rules.broken, []);
-  assert.ok(name !== undefined && !deployment.cloud.hosts.has(name), 'the machine is still rented');
+  assert.deepEqual(deployment.rules.violations, []);
+  assert.ok(name !== undefined && !deployment.cloud.machines.has(name), 'the machine is still rented');
 });
 
 test('duplicates of reports neither bring a machine back nor free resources', async () => {
-  const deployment = new SimDay(7);
+  const deployment = new SimulatedDeployment(7);
   submitWorkload(deployment);
   let duplicateCount = 0;
   deployment.at(5, () => {
     const duplicateReports = (): void => {
-      for (const host of deployment.cloud.hosts.keys())
+      for (const host of deployment.cloud.machines.keys())
         deployment.network.duplicateRequests(host, () => 5_000 + ((duplicateCount++ * 7_919) % 30_000));
       deployment.clock.setTimer(500, duplicateReports);
     };
     duplicateReports();
   });
   await deployment.clock.runUntil(200_000);
-  assert.deepEqual(deployment.rules.broken, []);
+  assert.deepEqual(deployment.rules.violations, []);
   assert.ok(duplicateCount > 500);
   // A task that is wrongly considered lost, or running on a machine that is gone, would be started again or late.
   assert.equal(deployment.rules.tasksKilledByLeaseExpiry, 0);
@@ -309,13 +325,13 @@
 });
 
 test('a leader without state service and peers stops answering, reports unhealthy, and another controller serves', async () => {
-  const deployment = new SimDay(8);
+  const deployment = new SimulatedDeployment(8);
   submitWorkload(deployment);
   const healthStatuses: Record<string, number[]> = {};
   let leader = '';
   const recordHealth = async (): Promise<void> => {
     for (const member of deployment.members) {
-      const health = await deployment.askOne(member, 'GET', '/healthz');
+      const health = await deployment.sendRequest(member, 'GET', '/healthz');
       (healthStatuses[member] ??= []).push(health?.status ?? 0);
     }
   };
@@ -334,7 +350,7 @@
   for (const member of deployment.members)
     assert.equal(healthStatuses[member]![0], member === leader ? 503 : 200, member);
   const pollResponse = await Promise.race([
-    deployment.askOne(
+    deployment.sendRequest(
       deployment.members.find((other) => other !== leader)!,
       'GET',
       '/submissions/job-000002',
@@ -342,24 +358,24 @@
     deployment.clock.runUntil(65_000).then(() => undefined),
   ]);
   assert.equal(pollResponse?.status, 200);
-  assert.deepEqual(deployment.rules.broken, []);
+  assert.deepEqual(deployment.rules.violations, []);
 });
 
 /** Returns the status of the response to the report of a worker that no controller knows. */
-async function sendUnknownWorkerReport(deployment: SimDay, member: string): Promise<number> {
+async function sendUnknownWorkerReport(deployment: SimulatedDeployment, member: string): Promise<number> {
   const report = { hearth: 'vm-999999', address: 'x:1', build: 'm4', yard: 'east', loaner: false };
   const state = { tenure: 1, tick: 1, baton: 0, warningS: null, pieces: [] };
-  return (await deployment.askOne(member, 'POST', '/v1/report', { ...report, ...state }))?.status ?? 0;
+  return (await deployment.sendRequest(member, 'POST', '/v1/report', { ...report, ...state }))?.status ?? 0;
 }
 
 test('controllers stay healthy during an outage that affects all of them', async () => {
-  const deployment = new SimDay(9);
+  const deployment = new SimulatedDeployment(9);
   submitWorkload(deployment);
   const healthStatuses: number[] = [];
-  deployment.at(50, () => deployment.state.refused.add('*'));
+  deployment.at(50, () => deployment.state.refusedCallers.add('*'));
   deployment.at(62, async () => {
     for (const member of deployment.members)
-      healthStatuses.push((await deployment.askOne(member, 'GET', '/healthz'))?.status ?? 0);
+      healthStatuses.push((await deployment.sendRequest(member, 'GET', '/healthz'))?.status ?? 0);
   });
   deployment.at(64, () => deployment.state.endOutage());
   await deployment.clock.runUntil(66_000);
@@ -367,57 +383,63 @@
 });
 
 test('a job of many tasks is not starved by a steady stream of newer jobs', async () => {
-  const deployment = new SimDay(10, { controllers: 3, machines: 3, scale: 1 });
-  const submitLargeJob = (): SimJob => deployment.submit({ tasks: 60, runS: 10, dueS: 30 });
+  const deployment = new SimulatedDeployment(10, { controllers: 3, machineCapacity: 3, cpuLimitScale: 1 });
+  const submitLargeJob = (): SimulatedJob => deployment.submit({ tasks: 60, runS: 10, deadlineS: 30 });
   deployment.at(5, () => {
-    for (let i = 0; i < 4; i++) deployment.submit({ tasks: 12, runS: 12, dueS: 60 });
+    for (let i = 0; i < 4; i++) deployment.submit({ tasks: 12, runS: 12, deadlineS: 60 });
   });
   deployment.at(10, submitLargeJob);
   for (let i = 0; i < 60; i++)
-    deployment.at(12 + i * 6, () => deployment.submit({ tasks: 12, runS: 12, dueS: 60 }));
+    deployment.at(12 + i * 6, () => deployment.submit({ tasks: 12, runS: 12, deadlineS: 60 }));
   await deployment.clock.runUntil(420_000);
   deployment.rules.checkServed(0);
-  const starved = deployment.rules.broken.filter((line) => line.includes('largest'));
+  const starved = deployment.rules.violations.filter((line) => line.includes('largest'));
   assert.deepEqual(starved, []);
 });
 
 test('a leader that lost its authority returns no machine, and running tasks continue under another leader', async () => {
   for (const seed of [11, 12]) {
-    const deployment = new SimDay(seed);
+    const deployment = new SimulatedDeployment(seed);
     submitWorkload(deployment);
     ['c0', 'c1', 'c2'].forEach((member, i) => {
-      deployment.at(50 + i * 40, () => deployment.state.refused.add(member));
-      deployment.at(75 + i * 40, () => deployment.state.refused.delete(member));
+      deployment.at(50 + i * 40, () => deployment.state.refusedCallers.add(member));
+      deployment.at(75 + i * 40, () => deployment.state.refusedCallers.delete(member));
     });
     await deployment.clock.runUntil(180_000);
-    assert.deepEqual(deployment.rules.broken, []);
+    assert.deepEqual(deployment.rules.violations, []);
     assert.equal(deployment.rules.tasksKilledWithMachine, 0);
     assert.equal(deployment.rules.tasksKilledByLeaseExpiry, 0);
   }
 });
 
 test('hundreds of machines and large arrays: the numbers of requests, writes and lookups are bounded', async () => {
-  const deployment = new SimDay(13, { controllers: 7, machines: 960, scale: 200 });
-  const jobsToFinish: SimJob[] = [];
+  const deployment = new SimulatedDeployment(13, {
+    controllers: 7,
+    machineCapacity: 960,
+    cpuLimitScale: 200,
+  });
+  const jobsToFinish: SimulatedJob[] = [];
   for (let i = 0; i < 4; i++)
-    deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 9, scatter: true }));
+    deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 9, zoneSpread: true }));
   for (const [atS, tasks] of [
     [5, 1500],
     [30, 300],
     [45, 1000],
   ] as const)
-    deployment.at(atS, () => jobsToFinish.push(deployment.submit({ tasks, runS: 20, dueS: 80, spot: true })));
+    deployment.at(atS, () =>
+      jobsToFinish.push(deployment.submit({ tasks, runS: 20, deadlineS: 80, spot: true })),
+    );
   // Many machines are lost at once, and others hang for a while, right before a change of leader.
   deployment.at(58, () => {
-    const hosts = [...deployment.cloud.hosts.values()];
-    for (const host of hosts.slice(0, 100)) deployment.cloud.take(host.name);
-    for (const host of hosts.slice(100, 180)) if (host.worker) host.worker.hanging = true;
+    const hosts = [...deployment.cloud.machines.values()];
+    for (const host of hosts.slice(0, 100)) deployment.cloud.terminate(host.name);
+    for (const host of hosts.slice(100, 180)) if (host.worker) host.worker.isHanging = true;
   });
   deployment.at(65, () => {
-    for (const { worker } of deployment.cloud.hosts.values()) if (worker) worker.hanging = false;
+    for (const { worker } of deployment.cloud.machines.values()) if (worker) worker.isHanging = false;
   });
   // Crashes several controllers, the leader among them.
-  deployment.at(60, () => ['c0', 'c1', 'c2'].forEach((member) => deployment.crash(member, 3000)));
+  deployment.at(60, () => ['c0', 'c1', 'c2'].forEach((member) => deployment.crashController(member, 3000)));
   let freeResourcesCalls = 0;
   const originalFreeResources = ClusterState.prototype.computeFreeResources;
   ClusterState.prototype.computeFreeResources = function (node) {
@@ -430,13 +452,13 @@
     ClusterState.prototype.computeFreeResources = originalFreeResources;
   }
   deployment.rules.checkServed(70_000);
-  assert.deepEqual(deployment.rules.broken, []);
+  assert.deepEqual(deployment.rules.violations, []);
   assert.deepEqual(
-    jobsToFinish.filter((job) => !deployment.isOver(job)).map((job) => job.uid),
+    jobsToFinish.filter((job) => !deployment.isFinished(job)).map((job) => job.uid),
     [],
   );
   assert.equal(deployment.rules.tasksKilledByLeaseExpiry, 0);
-  const machines = deployment.cloud.rented;
+  const machines = deployment.cloud.rentedCount;
   assert.ok(machines > 700, `only ${machines} machines`);
   const total = (counts: number[]): number => counts.reduce((sum, count) => sum + (count ?? 0), 0);
   // The rate limits of the state service hold in every second, also during the change of leader.
@@ -465,19 +487,19 @@
 });
 
 test('a submission during an outage is answered without delay', async () => {
-  const deployment = new SimDay(14);
+  const deployment = new SimulatedDeployment(14);
   submitWorkload(deployment);
   const responseTimesMs: number[] = [];
   const statuses: (number | undefined)[] = [];
-  deployment.at(50, () => deployment.state.refused.add('*'));
+  deployment.at(50, () => deployment.state.refusedCallers.add('*'));
   deployment.at(54, async () => {
     for (const member of deployment.members) {
       const sentMs = deployment.clock.steadyMs();
-      const response = await deployment.askOne(
+      const response = await deployment.sendRequest(
         member,
         'POST',
         '/submissions',
-        deployment.wireOf({ uid: `job-90000${responseTimesMs.length}` }),
+        deployment.encodeSubmission({ uid: `job-90000${responseTimesMs.length}` }),
       );
       responseTimesMs.push(deployment.clock.steadyMs() - sentMs);
       statuses.push(response?.status);
@@ -490,20 +512,25 @@
 });
 
 test('a leader in a zone without machines does not step down right after a crash (inc-6f4e)', async () => {
-  const deployment = new SimDay(15, { controllers: 3, machines: 24, scale: 1, machineZones: ['west'] });
-  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, scatter: true }));
+  const deployment = new SimulatedDeployment(15, {
+    controllers: 3,
+    machineCapacity: 24,
+    cpuLimitScale: 1,
+    machineZones: ['west'],
+  });
+  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, zoneSpread: true }));
   for (let i = 0; i < 10; i++)
     deployment.at(5 + i * 12, () => deployment.submit({ tasks: 1 + ((i * 3) % 7), runS: 8 + i }));
-  const getTerm = (): number => (deployment.state.peek('ph/term') as { term: number }).term;
+  const getTerm = (): number => (deployment.state.getValue('ph/term') as { term: number }).term;
   await deployment.clock.runUntil(60_000);
   // By then the only controller in the zone of the machines leads.
   assert.equal(deployment.leader, 'c1');
   const termBefore = getTerm();
-  deployment.crash('c1', 1_500);
+  deployment.crashController('c1', 1_500);
   await deployment.clock.runUntil(76_000);
   assert.notEqual(deployment.leader, 'c1');
   assert.equal(getTerm(), termBefore + 1);
   await deployment.clock.runUntil(120_000);
   assert.equal(deployment.leader, 'c1');
-  assert.deepEqual(deployment.rules.broken, []);
+  assert.deepEqual(deployment.rules.violations, []);
 });
