--- a/test/state/dependency-lists.test.ts
+++ b/test/state/dependency-lists.test.ts
@@ -7,7 +7,7 @@
   readDependencies,
   splitByEncodedSize,
 } from '../../src/state/records.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 test('the longest dependency lists that a request allows fit into values, and are read back completely or not at all', () => {
   const list = Array.from({ length: 4_500 }, (_, i) => `job-${String(i).padStart(6, '0')}`);
@@ -16,7 +16,7 @@
     assert.deepEqual(parts.flat(), list);
     for (const part of parts) assert.ok(measureEncodedBytes(part) <= valueBytes);
     const reference = { id: 'x', parts: parts.length };
-    const spec = jobSpec({ dependencyList: reference });
+    const spec = createJobSpec({ dependencyList: reference });
     const valuesByKey = new Map(
       parts.map((part, i) => [dependencyListKey(spec.uid, reference, i), part as unknown]),
     );
@@ -38,5 +38,7 @@
     firstCompletionSegment: '',
   };
   // The largest array also fits into the smaller value size, with all of its tasks completed.
-  assert.ok(maxJobBytes({ ...recordFields, taskCount: 100_000, spec: jobSpec({ tasks: 100_000 }) }) <= 2048);
+  assert.ok(
+    maxJobBytes({ ...recordFields, taskCount: 100_000, spec: createJobSpec({ tasks: 100_000 }) }) <= 2048,
+  );
 });
--- a/test/support/cluster-fixture.ts
+++ b/test/support/cluster-fixture.ts
@@ -5,7 +5,7 @@
 import { generatePendingCommands } from '../../src/cluster/pending-commands.js';
 import type { Heartbeat, TaskStatus } from '../../src/cluster/worker-messages.js';
 import { Job } from '../../src/pipeline/job.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 /** Duration of the workers' lease in these tests, in seconds. */
 export const LEASE_S = 10;
@@ -15,7 +15,7 @@
 const NODE_DESCRIPTION = { address: 'a:1', type: 'small', zone: 'a', spot: false };
 
 function createJob(): Job<Attempt> {
-  const spec = jobSpec();
+  const spec = createJobSpec();
   const record = {
     phase: 'open' as const,
     taskCount: 4,
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -12,8 +12,13 @@
   type JobRecord,
 } from '../src/state/records.js';
 import { formatJson } from '../src/wire/json.js';
-import { jobSpec } from './fixtures.js';
-import { PEER_FRAMES, decodeJobAsProduction, STORED, encodeJobAsProduction } from './former.js';
+import { createJobSpec } from './fixtures.js';
+import {
+  PEER_FRAMES,
+  decodeJobAsProduction,
+  STORED_VALUES,
+  encodeJobAsProduction,
+} from './production-version.js';
 
 /** Maps fields of a job's description to their names in the version in production. */
 const PRODUCTION_SPEC_FIELDS: Record<string, string> = {
@@ -43,7 +48,7 @@
 }
 
 test('values of the version in production are decoded, and encoded again in a form that it reads', () => {
-  for (const [name, text] of Object.entries(STORED)) {
+  for (const [name, text] of Object.entries(STORED_VALUES)) {
     const value: unknown = JSON.parse(text);
     if (name === 'open' || name === 'done' || name === 'cancelled') {
       const record = decodeJob(value);
@@ -60,7 +65,7 @@
 test('the version in production reads the values of this version and keeps every needed field when it writes them again', () => {
   const dependencies = ['job-000007', 'job-000008'];
   const dependencyList = { id: 'k3', parts: 2 };
-  for (const spec of [jobSpec({ dependencies }), jobSpec({ dependencyList }), jobSpec()]) {
+  for (const spec of [createJobSpec({ dependencies }), createJobSpec({ dependencyList }), createJobSpec()]) {
     const record = {
       phase: 'open' as const,
       taskCount: 4,
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -7,7 +7,7 @@
 import { HttpCallError, type HttpResponse } from '../../src/http/message.js';
 import { Job } from '../../src/pipeline/job.js';
 import { CommandDispatcher } from '../../src/workers/command-dispatcher.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 const TERM_MS = 600_000;
 
@@ -16,7 +16,7 @@
   '"warningS":null,"pieces":[]}';
 
 function createJob(): Job<Attempt> {
-  const spec = jobSpec();
+  const spec = createJobSpec();
   const record = {
     phase: 'open' as const,
     taskCount: 4,
