--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -2,7 +2,7 @@
 import { CompletionBitmap } from '../state/completion-bitmap.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import {
-  completionSegmentCount,
+  countCompletionSegments,
   completionSegmentKey,
   decodeJob,
   jobKey,
@@ -32,9 +32,9 @@
 /** Dependencies of `JobReader`. */
 export interface JobReaderDependencies {
   readonly replica: StateReplica;
-  readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
+  readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Number of running tasks of a job, for display. */
-  readonly runningTaskCount: (uid: string) => number;
+  readonly countRunningTasks: (uid: string) => number;
 }
 
 /** Reads jobs from the replica, and waits for a read of the state store if the replica may be behind. */
@@ -71,21 +71,21 @@
   getUserPhase(uid: string, record: JobRecord): UserPhase {
     if (record.phase === 'done') return 'done';
     if (record.phase === 'cancelled') return 'withdrawn';
-    return this.dependencies.runningTaskCount(uid) > 0 ? 'running' : 'pending';
+    return this.dependencies.countRunningTasks(uid) > 0 ? 'running' : 'pending';
   }
 
   /** Number of tasks that run now, for display. */
   countRunningTasks(uid: string, record: JobRecord): number {
-    return record.phase === 'open' ? this.dependencies.runningTaskCount(uid) : 0;
+    return record.phase === 'open' ? this.dependencies.countRunningTasks(uid) : 0;
   }
 
   /** Number of tasks that have completed, for display. */
   countCompletedTasks(uid: string, record: JobRecord): number {
-    if (record.phase === 'done') return record.tasks;
-    let count = countCompletedInSegment(record.tasks, record.completed);
-    for (let segment = 1; segment < completionSegmentCount(record.tasks); segment++) {
+    if (record.phase === 'done') return record.taskCount;
+    let count = countCompletedInSegment(record.taskCount, record.firstCompletionSegment);
+    for (let segment = 1; segment < countCompletionSegments(record.taskCount); segment++) {
       const encoded = this.dependencies.replica.get(completionSegmentKey(uid, segment))?.value;
-      if (typeof encoded === 'string') count += countCompletedInSegment(record.tasks, encoded);
+      if (typeof encoded === 'string') count += countCompletedInSegment(record.taskCount, encoded);
     }
     return count;
   }
@@ -97,7 +97,7 @@
   private decode(uid: string, { value }: KeyValue): JobRecord | undefined {
     const record = decodeJob(value);
     if (record?.phase !== 'open') return record;
-    const isCancelled = this.dependencies.jobDependencies.statusOf(uid) === 'cancelled';
+    const isCancelled = this.dependencies.jobDependencies.getStatus(uid) === 'cancelled';
     return isCancelled ? { ...record, phase: 'cancelled' } : record;
   }
 }
--- a/src/api/request-limiter.ts
+++ b/src/api/request-limiter.ts
@@ -4,8 +4,8 @@
  */
 import type { Clock } from '@pumicehinge/runtime';
 import type { Logger } from 'pino';
-import { MAX_USERS_WAITING } from '../constants.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import { MAX_USER_REQUESTS_IN_PROGRESS } from '../constants.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import { TRY_AGAIN } from './responses.js';
 
 /** Dependencies of `RequestLimiter`. */
@@ -18,17 +18,17 @@
   readonly isHealthy: () => boolean;
 }
 
-/** Admits up to MAX_USERS_WAITING user requests at a time. */
+/** Admits up to MAX_USER_REQUESTS_IN_PROGRESS user requests at a time. */
 export class RequestLimiter {
   private requestsInProgress = 0;
 
   constructor(private readonly dependencies: RequestLimiterDependencies) {}
 
   /** Responds with the result of `handleRequest`, or with 503 if it fails or takes longer than `timeoutMs`. */
-  run(timeoutMs: number, respond: Respond, handleRequest: () => Promise<HttpResponse>): void {
+  run(timeoutMs: number, respond: ResponseCallback, handleRequest: () => Promise<HttpResponse>): void {
     const { clock, log, isShortOfMemory } = this.dependencies;
-    if (this.requestsInProgress >= MAX_USERS_WAITING) return respond(TRY_AGAIN);
-    if (isShortOfMemory()) return respond({ ...TRY_AGAIN, close: true });
+    if (this.requestsInProgress >= MAX_USER_REQUESTS_IN_PROGRESS) return respond(TRY_AGAIN);
+    if (isShortOfMemory()) return respond({ ...TRY_AGAIN, closesConnection: true });
     this.requestsInProgress++;
     let hasFinished = false;
     const finish = (response: HttpResponse): void => {
@@ -38,7 +38,7 @@
       this.requestsInProgress--;
       respond(this.closeIfUnhealthy(response));
     };
-    const cancelTimeout = clock.after(timeoutMs, () => finish(TRY_AGAIN));
+    const cancelTimeout = clock.setTimer(timeoutMs, () => finish(TRY_AGAIN));
     handleRequest().then(finish, (error: unknown) => {
       log.debug({ err: error }, 'request failed');
       finish(TRY_AGAIN);
@@ -51,6 +51,6 @@
    */
   private closeIfUnhealthy(response: HttpResponse): HttpResponse {
     const shouldClose = response.status === 503 && !this.dependencies.isHealthy();
-    return shouldClose ? { ...response, close: true } : response;
+    return shouldClose ? { ...response, closesConnection: true } : response;
   }
 }
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -5,7 +5,7 @@
 import type { MutableResources, Resources } from '../cluster/resources.js';
 import { MAX_INSTANCES_PER_LAUNCH } from '../constants.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
-import { timeToDeadlineS } from '../scheduler/time-estimates.js';
+import { getTimeToDeadlineS } from '../scheduler/time-estimates.js';
 import { toCapacityDemand, type CapacityDemand } from './capacity-demand.js';
 import type { InstanceType, LaunchRequest } from './cloud-codec.js';
 import { planHeadroom, type HeadroomDemand, type RecentJob, type StartObjective } from './headroom.js';
@@ -19,16 +19,16 @@
 export interface AutoscalerDependencies {
   readonly clusterState: ClusterState;
   readonly nodeHealth: NodeHealth;
-  readonly scheduler: Pick<Scheduler, 'remainingQuotaOf'>;
+  readonly scheduler: Pick<Scheduler, 'countTasksWithinQuota'>;
   /** Number of the leader's term. */
   readonly term: number;
   /** Instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, InstanceType>;
   /** The full resources of a node of this instance type. */
-  readonly capacityOf: (type: string) => Resources;
+  readonly getNodeCapacity: (type: string) => Resources;
   /** Whether spot instances may be launched at all. */
-  readonly useSpot: boolean;
-  readonly spotInterruptions: SpotInterruptionRate;
+  readonly isSpotEnabled: boolean;
+  readonly spotInterruptionRate: SpotInterruptionRate;
   readonly startObjectives: readonly StartObjective[];
   /** Recent jobs. Headroom is estimated from the services among them. */
   readonly recentJobs: () => readonly RecentJob[];
@@ -48,11 +48,11 @@
   private hasInstanceList = false;
 
   constructor(private readonly dependencies: AutoscalerDependencies) {
-    this.offeringBackoff = new OfferingBackoff(dependencies.useSpot);
+    this.offeringBackoff = new OfferingBackoff(dependencies.isSpotEnabled);
     this.spotPolicy = new SpotPolicy({
       instanceTypes: dependencies.instanceTypes,
       offeringBackoff: this.offeringBackoff,
-      spotInterruptionRate: dependencies.spotInterruptions,
+      spotInterruptionRate: dependencies.spotInterruptionRate,
       wallMs: dependencies.wallMs,
     });
     this.capacityFinder = new IncomingCapacityFinder(dependencies);
@@ -62,7 +62,7 @@
    * Records that the cloud's instance list was read. Nothing is launched before that, because the list shows which
    * instances an earlier leader launched.
    */
-  markInstancesListed(): void {
+  recordInstanceListRead(): void {
     this.hasInstanceList = true;
   }
 
@@ -70,24 +70,32 @@
    * Records how many instances the cloud launched. Fewer than requested mean that the offering has no more instances
    * for now.
    */
-  handleLaunched({ name, offering, count }: LaunchRequest, launchedCount: number, nowMs: number): void {
-    this.pendingLaunches.delete(name);
-    if (launchedCount < count) this.offeringBackoff.recordRefusal(offering, 'no capacity', nowMs);
+  handleLaunched(
+    { requestName, offering, nodeCount }: LaunchRequest,
+    launchedCount: number,
+    nowMs: number,
+  ): void {
+    this.pendingLaunches.delete(requestName);
+    if (launchedCount < nodeCount) this.offeringBackoff.recordRefusal(offering, 'no capacity', nowMs);
   }
 
   /** Records that the cloud launched nothing, and why. */
-  handleLaunchFailed({ name, offering }: LaunchRequest, reason: LaunchRefusalReason, nowMs: number): void {
-    this.pendingLaunches.delete(name);
+  handleLaunchFailed(
+    { requestName, offering }: LaunchRequest,
+    reason: LaunchRefusalReason,
+    nowMs: number,
+  ): void {
+    this.pendingLaunches.delete(requestName);
     this.offeringBackoff.recordRefusal(offering, reason, nowMs);
   }
 
   /** Adopts a launch request of an earlier term that is still being carried out, so that its instances are expected. */
-  adoptLaunch(request: LaunchRequest): void {
-    this.pendingLaunches.set(request.name, request);
+  adoptPendingLaunch(request: LaunchRequest): void {
+    this.pendingLaunches.set(request.requestName, request);
   }
 
   /** Whether the node must not be terminated because headroom relies on it. */
-  isHeadroom(node: Node): boolean {
+  isReservedForHeadroom(node: Node): boolean {
     return this.headroomNodes.has(node);
   }
 
@@ -125,7 +133,7 @@
     const plannedResourcesByTeam = new Map<string, MutableResources>();
     for (const job of waitingJobs) {
       const { spec } = job;
-      const secondsToDeadline = timeToDeadlineS(job, this.dependencies.wallMs());
+      const secondsToDeadline = getTimeToDeadlineS(job, this.dependencies.wallMs());
       this.spotPolicy.updateSpotPreference(job, nowMs);
       // Resources planned for one job of a team count against the team's quota for the jobs that follow.
       const plannedResources = plannedResourcesByTeam.get(spec.team) ?? {
@@ -135,8 +143,8 @@
       };
       plannedResourcesByTeam.set(spec.team, plannedResources);
       const taskCount = Math.min(
-        job.pendingTasks,
-        this.dependencies.scheduler.remainingQuotaOf(job, plannedResources),
+        job.pendingTaskCount,
+        this.dependencies.scheduler.countTasksWithinQuota(job, plannedResources),
       );
       if (taskCount <= 0) continue;
       plannedResources.cpus += taskCount * spec.cpus;
@@ -170,7 +178,7 @@
       ({ jobClass }) => jobClass === job.spec.jobClass,
     );
     if (!objective) return Infinity;
-    const remainingS = objective.withinS - (this.dependencies.wallMs() - job.queuedMs) / 1000;
+    const remainingS = objective.withinS - (this.dependencies.wallMs() - job.queuedSinceMs) / 1000;
     return remainingS > 0 ? remainingS : Infinity;
   }
 
@@ -178,11 +186,11 @@
   private launch({ offering, count }: ScaleOutPlan): void {
     for (let remainingCount = count; remainingCount > 0; remainingCount -= MAX_INSTANCES_PER_LAUNCH) {
       const request: LaunchRequest = {
-        name: `r-${this.dependencies.term}-${++this.launchCount}`,
+        requestName: `r-${this.dependencies.term}-${++this.launchCount}`,
         offering,
-        count: Math.min(remainingCount, MAX_INSTANCES_PER_LAUNCH),
+        nodeCount: Math.min(remainingCount, MAX_INSTANCES_PER_LAUNCH),
       };
-      this.pendingLaunches.set(request.name, request);
+      this.pendingLaunches.set(request.requestName, request);
       this.dependencies.launch(request);
     }
   }
--- a/src/autoscaler/capacity-pool.ts
+++ b/src/autoscaler/capacity-pool.ts
@@ -1,13 +1,13 @@
 /** Incoming capacity from which demands reserve what they need. */
 import type { Node } from '../cluster/cluster-state.js';
 import type { MutableResources } from '../cluster/resources.js';
-import { EPSILON, OCCUPIED_CAPACITY_WAIT_S } from '../constants.js';
+import { RESOURCE_TOLERANCE, MAX_OCCUPIED_CAPACITY_WAIT_S } from '../constants.js';
 import {
   allowsZone,
   fits,
-  remainingZoneTasks,
+  countRemainingZoneTasks,
   satisfiesConstraints,
-  tasksThatFit,
+  countFittingTasks,
 } from '../scheduler/placement-constraints.js';
 import type { CapacityDemand } from './capacity-demand.js';
 import type { InstanceOffering } from './cloud-codec.js';
@@ -141,8 +141,8 @@
     const { free, zone } = capacity;
     const taskCount = Math.min(
       this.remainingTasks,
-      tasksThatFit(spec, free),
-      remainingZoneTasks(spec, this.allocationsPerZone, zone),
+      countFittingTasks(spec, free),
+      countRemainingZoneTasks(spec, this.allocationsPerZone, zone),
     );
     if (taskCount <= 0) return;
     this.remainingTasks -= taskCount;
@@ -156,7 +156,7 @@
 
 /** Seconds within which a running task must complete so that the demand waits for its capacity. */
 function computeLatestCompletionS(demand: CapacityDemand): number {
-  if (demand.spec.kind === 'service' || demand.waitedS > OCCUPIED_CAPACITY_WAIT_S) return -Infinity;
+  if (demand.spec.kind === 'service' || demand.waitedS > MAX_OCCUPIED_CAPACITY_WAIT_S) return -Infinity;
   return Math.min(demand.timeToStartObjectiveS, demand.timeToDeadlineS - demand.expectedRunTimeS);
 }
 
@@ -167,4 +167,4 @@
 });
 
 const hasFreeCapacity = ({ free }: PooledCapacity): boolean =>
-  free.cpus > EPSILON || free.accelerators > EPSILON;
+  free.cpus > RESOURCE_TOLERANCE || free.accelerators > RESOURCE_TOLERANCE;
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -9,20 +9,20 @@
   CATALOG_INTERVAL_MS,
   CLOUD_CALL_TIMEOUT_MS,
   CLOUD_RATE_SHARE,
-  DELEGATED_CLOUD_SHARES,
-  DELEGATED_LIST_SHARE,
-  LIST_INTERVAL_MS,
-  LIST_RATE_SHARE,
+  DELEGATED_CLOUD_RATE_SHARES,
+  DELEGATED_INSTANCE_LIST_RATE_SHARE,
+  INSTANCE_LIST_INTERVAL_MS,
+  INSTANCE_LIST_RATE_SHARE,
   MAX_INSTANCES_PER_TERMINATION,
-  STATE_RETRY_MS,
+  STATE_RETRY_DELAY_MS,
 } from '../constants.js';
-import type { HttpCaller, HttpResponse } from '../http/message.js';
+import type { HttpClient, HttpResponse } from '../http/message.js';
 import { formatJson } from '../wire/json.js';
 import {
   CATALOG_TARGET,
   decodeCatalog,
-  decodeInstanceList,
-  decodeLaunched,
+  decodeInstancePage,
+  decodeLaunchedNames,
   decodeRefusalReason,
   encodeLaunch,
   encodeTermination,
@@ -46,11 +46,11 @@
  * The request rates of a leader. It uses the whole usable rate, or only its share of it if the holders of leased roles
  * launch and terminate instances.
  */
-export function leaderCloudRates(rps: number, hasRoleHolders: boolean): CloudRates {
+export function computeLeaderCloudRates(rps: number, hasRoleHolders: boolean): CloudRates {
   const usableRps = rps * CLOUD_RATE_SHARE;
   return hasRoleHolders
-    ? { rps: usableRps * DELEGATED_CLOUD_SHARES.leader, listShare: DELEGATED_LIST_SHARE }
-    : { rps: usableRps, listShare: LIST_RATE_SHARE };
+    ? { rps: usableRps * DELEGATED_CLOUD_RATE_SHARES.leader, listShare: DELEGATED_INSTANCE_LIST_RATE_SHARE }
+    : { rps: usableRps, listShare: INSTANCE_LIST_RATE_SHARE };
 }
 
 /**
@@ -58,7 +58,7 @@
  * because of a fault.
  */
 export type CloudEvent =
-  | { readonly kind: 'catalog'; readonly types: InstanceType[] }
+  | { readonly kind: 'catalog'; readonly instanceTypes: InstanceType[] }
   | { readonly kind: 'listed'; readonly instances: readonly CloudInstance[]; readonly requestedMs: number }
   | { readonly kind: 'launched'; readonly request: LaunchRequest; readonly names: string[] }
   | { readonly kind: 'launchFailed'; readonly request: LaunchRequest; readonly reason: LaunchRefusalReason }
@@ -66,7 +66,7 @@
 
 /** Dependencies of CloudClient. */
 export interface CloudClientDependencies {
-  readonly caller: HttpCaller;
+  readonly caller: HttpClient;
   /** Host and port of the cloud. */
   readonly address: string;
   readonly rates: CloudRates;
@@ -153,14 +153,14 @@
   private makeDueCalls(): void {
     const { clock, mayCall } = this.dependencies;
     this.cancelTimer?.();
-    while (mayCall() && this.rateLimiter.waitMs(1) === 0) {
+    while (mayCall() && this.rateLimiter.computeWaitMs(1) === 0) {
       const call = this.nextCall();
       if (!call) break;
       this.rateLimiter.consume(1);
       this.startCall(call);
     }
-    const waitMs = Math.max(this.rateLimiter.waitMs(1), STATE_RETRY_MS);
-    this.cancelTimer = clock.after(waitMs, () => this.send({ kind: 'tick' }));
+    const waitMs = Math.max(this.rateLimiter.computeWaitMs(1), STATE_RETRY_DELAY_MS);
+    this.cancelTimer = clock.setTimer(waitMs, () => this.send({ kind: 'tick' }));
   }
 
   /** The most urgent call that is due. */
@@ -202,7 +202,7 @@
 
   private nextListCall(nowMs: number): Call | undefined {
     if (nowMs < this.listDueMs) return undefined;
-    this.listDueMs = nowMs + LIST_INTERVAL_MS;
+    this.listDueMs = nowMs + INSTANCE_LIST_INTERVAL_MS;
     return { kind: 'list', afterName: '', instances: [], requestedMs: nowMs, pageCount: 1 };
   }
 
@@ -252,7 +252,7 @@
   private handleLaunchResponse(request: LaunchRequest, response: HttpResponse | undefined): void {
     const { onEvent } = this.dependencies;
     if (response?.status === 200)
-      onEvent({ kind: 'launched', request, names: decodeLaunched(response.body) });
+      onEvent({ kind: 'launched', request, names: decodeLaunchedNames(response.body) });
     else if (response?.status === 503 || response?.status === 400)
       onEvent({ kind: 'launchFailed', request, reason: decodeRefusalReason(response.body) });
     // Without a response the launch may have been carried out, or may still be. Only the same request may be repeated.
@@ -267,16 +267,16 @@
 
   private handleCatalogResponse(response: HttpResponse | undefined): void {
     const { clock, onEvent } = this.dependencies;
-    if (response?.status === 200) onEvent({ kind: 'catalog', types: decodeCatalog(response.body) });
-    else this.catalogDueMs = clock.steadyMs() + LIST_INTERVAL_MS / 2;
+    if (response?.status === 200) onEvent({ kind: 'catalog', instanceTypes: decodeCatalog(response.body) });
+    else this.catalogDueMs = clock.steadyMs() + INSTANCE_LIST_INTERVAL_MS / 2;
   }
 
   private handleListPage(call: ListCall, body: string): void {
     const { rates, onEvent } = this.dependencies;
-    const page = decodeInstanceList(body);
+    const page = decodeInstancePage(body);
     const instances = [...call.instances, ...page.instances];
     const lastInstance = page.instances.at(-1);
-    if (page.more && lastInstance) {
+    if (page.hasMore && lastInstance) {
       this.nextPage = { ...call, afterName: lastInstance.name, instances, pageCount: call.pageCount + 1 };
       return;
     }
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -3,9 +3,9 @@
  * All other code works with the types declared here.
  */
 import type { InstanceOffering, LaunchRefusalReason, LaunchRequest } from '@pumicehinge/duties';
-import { LIST_PAGE } from '../constants.js';
+import { INSTANCE_LIST_PAGE_SIZE } from '../constants.js';
 import type { InstanceType } from '../state/records/instance-types.js';
-import { isObject, parseJson } from '../wire/json.js';
+import { isJsonObject, parseJson } from '../wire/json.js';
 
 export type { InstanceOffering, LaunchRequest } from '@pumicehinge/duties';
 export type { InstanceType } from '../state/records/instance-types.js';
@@ -27,7 +27,7 @@
 export interface InstancePage {
   readonly instances: CloudInstance[];
   /** Whether another page follows. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
 }
 
 /** Thrown if the cloud responds with a body that does not have the expected form. */
@@ -56,35 +56,35 @@
  */
 export function formatInstanceListTarget(afterName: string): string {
   const sinceParameter = afterName === '' ? '' : `since=${afterName}&`;
-  return `/hosts?${sinceParameter}page=${LIST_PAGE}`;
+  return `/hosts?${sinceParameter}page=${INSTANCE_LIST_PAGE_SIZE}`;
 }
 
 /** The key that identifies an offering in maps and logs. */
-export const offeringKey = (offering: InstanceOffering): string =>
+export const formatOfferingKey = (offering: InstanceOffering): string =>
   `${offering.type}/${offering.zone}/${offering.spot ? 'spot' : 'ordinary'}`;
 
 /** Decodes the catalog. Throws {@link MalformedCloudResponseError}. */
 export function decodeCatalog(text: string): InstanceType[] {
   const list = parseObject(text).builds;
   if (!Array.isArray(list)) throw new MalformedCloudResponseError('a catalog');
-  return list.filter(isObject).map(decodeInstanceType);
+  return list.filter(isJsonObject).map(decodeInstanceType);
 }
 
 /**
  * Decodes a page of the instance list. A body without a list counts as an empty page. Throws
  * {@link MalformedCloudResponseError}.
  */
-export function decodeInstanceList(text: string): InstancePage {
+export function decodeInstancePage(text: string): InstancePage {
   const body = parseObject(text);
   const list = Array.isArray(body.hearths) ? body.hearths : [];
-  return { instances: list.filter(isObject).map(decodeInstance), more: body.more === true };
+  return { instances: list.filter(isJsonObject).map(decodeInstance), hasMore: body.more === true };
 }
 
 /**
  * Decodes the names of launched instances. The result is empty if the body has no list. Throws
  * {@link MalformedCloudResponseError}.
  */
-export function decodeLaunched(text: string): string[] {
+export function decodeLaunchedNames(text: string): string[] {
   const list = parseObject(text).hearths;
   return Array.isArray(list) ? list.map(String) : [];
 }
@@ -95,8 +95,14 @@
 }
 
 /** Encodes the body of a launch request. Repeating a request under the same name launches nothing twice. */
-export function encodeLaunch({ name, offering, count }: LaunchRequest): unknown {
-  return { ask: name, build: offering.type, yard: offering.zone, loaner: offering.spot, howMany: count };
+export function encodeLaunch({ requestName, offering, nodeCount }: LaunchRequest): unknown {
+  return {
+    ask: requestName,
+    build: offering.type,
+    yard: offering.zone,
+    loaner: offering.spot,
+    howMany: nodeCount,
+  };
 }
 
 /** Encodes the body of a request that terminates instances. */
@@ -111,7 +117,7 @@
   } catch (cause) {
     throw new MalformedCloudResponseError('JSON', { cause });
   }
-  if (!isObject(body)) throw new MalformedCloudResponseError('an object');
+  if (!isJsonObject(body)) throw new MalformedCloudResponseError('an object');
   return body;
 }
 
--- a/src/autoscaler/headroom.ts
+++ b/src/autoscaler/headroom.ts
@@ -1,11 +1,11 @@
 /** Plans headroom, which is capacity kept ready for expected jobs that must start sooner than a new node boots. */
 import {
-  HEADROOM_MAX_JOBS,
+  MAX_HEADROOM_JOBS,
   HEADROOM_MARGIN,
   HEADROOM_WINDOW_MS,
   NODE_START_OVERHEAD_S,
 } from '../constants.js';
-import { tasksThatFit } from '../scheduler/placement-constraints.js';
+import { countFittingTasks } from '../scheduler/placement-constraints.js';
 import type { JobSpec } from '../state/records.js';
 import type { InstanceType } from './cloud-codec.js';
 
@@ -67,7 +67,7 @@
   spec: JobSpec,
   instanceTypes: readonly InstanceType[],
 ): number | undefined {
-  const fittingTypes = instanceTypes.filter((type) => tasksThatFit(spec, type) > 0);
+  const fittingTypes = instanceTypes.filter((type) => countFittingTasks(spec, type) > 0);
   if (fittingTypes.length === 0) return undefined;
   return Math.min(...fittingTypes.map((type) => type.bootS)) + NODE_START_OVERHEAD_S;
 }
@@ -81,7 +81,7 @@
   const meanTasksPerJob = countTasks(jobs) / jobs.length;
   const recentTasks = countTasks(jobs.filter(({ acceptedMs }) => wallMs - acceptedMs < HEADROOM_WINDOW_MS));
   const expectedTasks = ((recentTasks * startTimeS * 1000) / HEADROOM_WINDOW_MS) * HEADROOM_MARGIN;
-  return Math.ceil(Math.min(Math.max(expectedTasks, meanTasksPerJob), meanTasksPerJob * HEADROOM_MAX_JOBS));
+  return Math.ceil(Math.min(Math.max(expectedTasks, meanTasksPerJob), meanTasksPerJob * MAX_HEADROOM_JOBS));
 }
 
 function countTasks(jobs: readonly RecentJob[]): number {
--- a/src/autoscaler/incoming-capacity.ts
+++ b/src/autoscaler/incoming-capacity.ts
@@ -3,7 +3,7 @@
 import type { NodeHealth } from '../cluster/node-health.js';
 import { addResources, type Resources } from '../cluster/resources.js';
 import { NODE_START_OVERHEAD_S } from '../constants.js';
-import { remainingRunS } from '../scheduler/time-estimates.js';
+import { estimateRemainingRunS } from '../scheduler/time-estimates.js';
 import type { InstanceOffering, InstanceType, LaunchRequest } from './cloud-codec.js';
 
 /** Capacity that is free now or later. It belongs to a node, a launching instance or a running task. */
@@ -27,7 +27,7 @@
   /** Instance types by name. */
   readonly instanceTypes: () => ReadonlyMap<string, InstanceType>;
   /** The full resources of a node of this instance type. */
-  readonly capacityOf: (type: string) => Resources;
+  readonly getNodeCapacity: (type: string) => Resources;
 }
 
 /** Finds the capacity that is free now or soon. */
@@ -43,8 +43,8 @@
     const { clusterState, nodeHealth } = this.dependencies;
     const immediate: IncomingCapacity[] = [];
     for (const node of clusterState.nodes.values()) {
-      if (node.spot || !node.persisted || !nodeHealth.isSchedulable(node, nowMs)) continue;
-      const free = { ...clusterState.freeResources(node) };
+      if (node.spot || !node.isPersistedAsUsed || !nodeHealth.isSchedulable(node, nowMs)) continue;
+      const free = { ...clusterState.computeFreeResources(node) };
       for (const { state, job, resources } of node.attempts.values())
         if (state !== 'exited' && job && job.rank !== 'prod') addResources(free, resources, 1);
       const { type, zone, spot } = node;
@@ -61,17 +61,17 @@
     const incoming: IncomingCapacity[] = [];
     for (const node of this.dependencies.clusterState.nodes.values())
       this.addNodeCapacity(node, nowMs, incoming);
-    for (const { offering, count } of pendingLaunches) {
-      const free = this.dependencies.capacityOf(offering.type);
+    for (const { offering, nodeCount } of pendingLaunches) {
+      const free = this.dependencies.getNodeCapacity(offering.type);
       const readyInS = this.getBootTimeS(offering.type) + NODE_START_OVERHEAD_S;
-      for (let i = 0; i < count; i++) incoming.push({ ...offering, free, readyInS, isOccupied: false });
+      for (let i = 0; i < nodeCount; i++) incoming.push({ ...offering, free, readyInS, isOccupied: false });
     }
     return incoming;
   }
 
   private addNodeCapacity(node: Node, nowMs: number, incoming: IncomingCapacity[]): void {
     const { nodeHealth } = this.dependencies;
-    if (node.terminating || nodeHealth.isBootOverdue(node, nowMs)) return;
+    if (node.isTerminating || nodeHealth.isBootOverdue(node, nowMs)) return;
     const { type, zone, spot, capacity } = node;
     if (isRegistering(node)) {
       incoming.push({ type, zone, spot, free: capacity, readyInS: 1, isOccupied: false });
@@ -81,7 +81,7 @@
       incoming.push({ type, zone, spot, free: capacity, readyInS, isOccupied: false });
     } else if (nodeHealth.isSchedulable(node, nowMs)) {
       for (const attempt of node.attempts.values()) {
-        const readyInS = remainingRunS(attempt, nowMs);
+        const readyInS = estimateRemainingRunS(attempt, nowMs);
         if (readyInS < Infinity)
           incoming.push({ type, zone, spot, free: attempt.resources, readyInS, isOccupied: true });
       }
@@ -95,5 +95,5 @@
 
 /** Whether the node has sent heartbeats and will be given tasks once it is persisted and reconciled. */
 function isRegistering(node: Node): boolean {
-  return node.firstContactMs > -Infinity && (!node.persisted || !node.reconciled);
+  return node.firstContactMs > -Infinity && (!node.isPersistedAsUsed || !node.isReconciled);
 }
--- a/src/cluster/attempt.ts
+++ b/src/cluster/attempt.ts
@@ -26,7 +26,7 @@
   readonly job: Job | undefined;
   readonly jobUid: string;
   /** Index of the task within its job, starting at 0. */
-  readonly index: number;
+  readonly taskIndex: number;
   /**
    * The number of the attempt, which is unique among all attempts of all terms. Its high bits are the number of the
    * term.
@@ -43,7 +43,7 @@
   /** Sequence number of the heartbeat whose response carried the start command. 0 if no start command was sent. */
   readonly startSentSequence: WireInt;
   /** Steady time in ms at which the start command was sent. -Infinity if none was sent. */
-  readonly sentMs: number;
+  readonly startSentMs: number;
   /** Steady time in ms at which the attempt was first seen running. Until then, the time at which it was planned. */
   readonly startedMs: number;
   /** The request to stop the attempt. Undefined if the attempt should keep running. */
@@ -80,13 +80,13 @@
 class TrackedAttempt implements Attempt {
   readonly job: Job | undefined;
   readonly jobUid: string;
-  readonly index: number;
+  readonly taskIndex: number;
   readonly number: WireInt;
   readonly node: Node;
   readonly resources: Resources;
   state: AttemptState;
   startSentSequence: WireInt = 0;
-  sentMs = -Infinity;
+  startSentMs = -Infinity;
   startedMs: number;
   stopRequest: { readonly gracePeriodS: number } | undefined = undefined;
   exitCause: ExitCause | undefined = undefined;
@@ -95,7 +95,7 @@
   constructor(identity: AttemptIdentity, state: AttemptState, nowMs: number) {
     this.job = identity.job;
     this.jobUid = identity.jobUid;
-    this.index = identity.index;
+    this.taskIndex = identity.taskIndex;
     this.number = identity.number;
     this.node = identity.node;
     this.resources = getRequestedResources(identity.job);
@@ -106,7 +106,7 @@
   markStartSent(sequence: WireInt, nowMs: number): void {
     this.state = 'sent';
     this.startSentSequence = sequence;
-    this.sentMs = nowMs;
+    this.startSentMs = nowMs;
   }
 
   returnToPlanned(): void {
@@ -142,13 +142,13 @@
 }
 
 /** Returns the key of an attempt among the attempts of its node. */
-export function attemptKey(jobUid: string, index: number, number: WireInt): string {
-  return `${jobUid}/${index}#${number}`;
+export function formatAttemptKey(jobUid: string, taskIndex: number, number: WireInt): string {
+  return `${jobUid}/${taskIndex}#${number}`;
 }
 
 /** Returns the name of the attempt's task, as it appears in commands, in logs and to users. */
-export function taskName({ jobUid, index }: Pick<Attempt, 'jobUid' | 'index'>): string {
-  return `${jobUid}/${index}`;
+export function formatTaskName({ jobUid, taskIndex }: Pick<Attempt, 'jobUid' | 'taskIndex'>): string {
+  return `${jobUid}/${taskIndex}`;
 }
 
 function getRequestedResources(job: Job | undefined): Resources {
--- a/src/cluster/cluster-state.ts
+++ b/src/cluster/cluster-state.ts
@@ -2,7 +2,7 @@
  * The cluster state of one term: the nodes, the attempts on them, the resources that attempts take from nodes and
  * teams, and indexes of the nodes. It makes no decisions.
  */
-import { EPSILON } from '../constants.js';
+import { RESOURCE_TOLERANCE } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
 import type { ExitCause } from './worker-messages.js';
 import { createAttempt, type Attempt, type AttemptIdentity, type AttemptState, type Job } from './attempt.js';
@@ -15,23 +15,23 @@
   type Resources,
 } from './resources.js';
 
-export { attemptKey, taskName, type Attempt, type Job } from './attempt.js';
+export { formatAttemptKey, formatTaskName, type Attempt, type Job } from './attempt.js';
 export type { Node, NodeDescription } from './node.js';
 export type { MutableResources, Resources } from './resources.js';
 
 /** Is notified of each end of an attempt, after the cluster state has changed. */
 export interface AttemptListener {
   /** The worker has reported that the attempt exited. */
-  exited(attempt: Attempt, cause: ExitCause): void;
+  onExited(attempt: Attempt, cause: ExitCause): void;
   /** The attempt has certainly ended without a reported exit: it was lost, or withdrawn before it was started. */
-  released(attempt: Attempt): void;
+  onReleased(attempt: Attempt): void;
 }
 
 /** A task start that the scheduler has decided on. */
 export interface PlannedStart {
   readonly job: Job;
   /** Index of the task within its job, starting at 0. */
-  readonly index: number;
+  readonly taskIndex: number;
   /** The number of the attempt, which is unique among all attempts. */
   readonly number: WireInt;
   readonly node: Node;
@@ -61,7 +61,7 @@
   }
 
   /** Number of nodes in each zone that has nodes. */
-  get nodesPerZone(): ReadonlyMap<string, number> {
+  get nodeCountByZone(): ReadonlyMap<string, number> {
     return this.nodeCountsByZone;
   }
 
@@ -116,8 +116,8 @@
   }
 
   /** Allocates resources for a start whose command still has to be sent to the worker. */
-  planAttempt({ job, index, number, node }: PlannedStart, nowMs: number): Attempt {
-    const attempt = this.allocate({ job, jobUid: job.uid, index, number, node }, 'planned', nowMs);
+  planAttempt({ job, taskIndex, number, node }: PlannedStart, nowMs: number): Attempt {
+    const attempt = this.allocate({ job, jobUid: job.uid, taskIndex, number, node }, 'planned', nowMs);
     this.commandAwaitingNodes.add(node);
     return attempt;
   }
@@ -128,7 +128,7 @@
   }
 
   /** Withdraws an attempt whose start command was certainly not sent. */
-  withdrawPlanned(attempt: Attempt): void {
+  withdrawPlannedAttempt(attempt: Attempt): void {
     this.removeAttempt(attempt);
   }
 
@@ -139,7 +139,7 @@
   exitAttempt(attempt: Attempt, cause: ExitCause): void {
     attempt.recordExit(cause);
     this.deallocate(attempt);
-    this.listener.exited(attempt, cause);
+    this.listener.onExited(attempt, cause);
   }
 
   /** Removes an attempt that has certainly ended. It counts as released unless it had exited. */
@@ -147,7 +147,7 @@
     attempt.node.removeAttempt(attempt);
     if (attempt.state === 'exited') return;
     this.deallocate(attempt);
-    this.listener.released(attempt);
+    this.listener.onReleased(attempt);
   }
 
   /** Removes all attempts on the node, because all of them have certainly ended. */
@@ -175,17 +175,17 @@
   }
 
   /** Returns the free resources of the node, in a new object that the caller may change. */
-  freeResources(node: Node): MutableResources {
+  computeFreeResources(node: Node): MutableResources {
     return subtractResources(node.capacity, node.allocated);
   }
 
   /** Returns the resources that the attempts of the team's jobs take. */
-  usage(team: string): Resources {
+  getTeamUsage(team: string): Resources {
     return this.usageByTeam.get(team) ?? NO_RESOURCES;
   }
 
   private allocate(identity: AttemptIdentity, state: AttemptState, nowMs: number): Attempt {
-    const { job, node, index } = identity;
+    const { job, node, taskIndex } = identity;
     const attempt = createAttempt(identity, state, nowMs);
     node.addAttempt(attempt);
     this.indexFreeCapacity(node);
@@ -193,7 +193,7 @@
       this.addTeamUsage(job.spec.team, attempt.resources, 1);
       // A second attempt of an allocated task takes resources as well, but the first attempt remains the allocation
       // of the task.
-      if (!job.allocations.has(index)) job.addAllocation(attempt, node.zone);
+      if (!job.attemptByTask.has(taskIndex)) job.addAllocation(attempt, node.zone);
     }
     return attempt;
   }
@@ -216,7 +216,8 @@
   private indexFreeCapacity(node: Node): void {
     const { capacity, allocated } = node;
     const hasFreeCapacity =
-      capacity.cpus - allocated.cpus > EPSILON || capacity.accelerators - allocated.accelerators > EPSILON;
+      capacity.cpus - allocated.cpus > RESOURCE_TOLERANCE ||
+      capacity.accelerators - allocated.accelerators > RESOURCE_TOLERANCE;
     // A removed node stays out of the index, even if attempts on it end later.
     if (hasFreeCapacity && this.nodesByName.get(node.name) === node) this.freeCapacityNodes.add(node);
     else this.freeCapacityNodes.delete(node);
--- a/src/cluster/node-records.ts
+++ b/src/cluster/node-records.ts
@@ -1,6 +1,10 @@
 /** Stores the nodes in the state store, so that the next leader knows where tasks may run. */
-import { MALFORMED_VALUE_RETRY_MS, MAX_INSTANCES_PER_LAUNCH, NODE_RECORD_BYTES } from '../constants.js';
-import { decodeNodeGroup, encodedBytes, NODE_GROUPS_PREFIX, nodeGroupKey } from '../state/records.js';
+import {
+  MALFORMED_VALUE_RETRY_DELAY_MS,
+  MAX_INSTANCES_PER_LAUNCH,
+  MAX_NODE_RECORD_BYTES,
+} from '../constants.js';
+import { decodeNodeGroup, measureEncodedBytes, NODE_GROUPS_PREFIX, nodeGroupKey } from '../state/records.js';
 import type { StateReplica } from '../state/state-replica.js';
 import type { Condition, Operation } from '../state/store-client.js';
 import type { CommitResult } from '../state/transaction-batcher.js';
@@ -51,7 +55,7 @@
   constructor(private readonly dependencies: NodeRecordsDependencies) {
     this.maxGroupSize = Math.max(
       1,
-      Math.min(MAX_INSTANCES_PER_LAUNCH, Math.floor(dependencies.maxValueBytes / NODE_RECORD_BYTES)),
+      Math.min(MAX_INSTANCES_PER_LAUNCH, Math.floor(dependencies.maxValueBytes / MAX_NODE_RECORD_BYTES)),
     );
   }
 
@@ -76,10 +80,10 @@
           { name, address: address ?? '', type, zone, spot, capacity },
           nowMs,
         );
-        if (address !== undefined) node.markPersisted();
-        group.add(node, node.persisted);
+        if (address !== undefined) node.markPersistedAsUsed();
+        group.add(node, node.isPersistedAsUsed);
         this.groupByNode.set(node, group);
-        isUsedByNode.set(node, node.persisted);
+        isUsedByNode.set(node, node.isPersistedAsUsed);
       }
     }
     return isUsedByNode;
@@ -136,7 +140,7 @@
   /** Applies the result of a write. A group whose write was not applied is written again. */
   handleWriteResult({ group, usedNodes, isApplied }: NodeGroupWriteResult): void {
     group.endWrite();
-    if (isApplied) for (const node of usedNodes) node.markPersisted();
+    if (isApplied) for (const node of usedNodes) node.markPersistedAsUsed();
     else this.changedGroups.add(group);
   }
 
@@ -162,7 +166,11 @@
     }
     const modRevision = stored?.modRevision ?? 0;
     // The group was created under larger limits, or its nodes have longer names than expected.
-    if (value !== undefined && group.size > 1 && encodedBytes(value) > this.dependencies.maxValueBytes) {
+    if (
+      value !== undefined &&
+      group.size > 1 &&
+      measureEncodedBytes(value) > this.dependencies.maxValueBytes
+    ) {
       this.splitGroup(group, modRevision);
       return;
     }
@@ -173,7 +181,8 @@
 
   private deliverWriteResult({ group, usedNodes }: SplitPart, result: CommitResult): void {
     // A value that the store rejects as malformed would be rejected again, so it is not resent at once.
-    if (result.outcome === 'refused' && result.malformed) group.postponeWrite(MALFORMED_VALUE_RETRY_MS);
+    if (result.outcome === 'refused' && result.isMalformed)
+      group.postponeWrite(MALFORMED_VALUE_RETRY_DELAY_MS);
     this.dependencies.onWriteEnded({ group, usedNodes, isApplied: result.outcome === 'applied' });
   }
 
--- a/src/cluster/pending-commands.ts
+++ b/src/cluster/pending-commands.ts
@@ -3,7 +3,7 @@
  * command as sent.
  */
 import type { WorkerCommand } from './worker-messages.js';
-import { taskName, type Attempt } from './attempt.js';
+import { formatTaskName, type Attempt } from './attempt.js';
 import type { Node } from './node.js';
 
 /** A command and the attempt that it concerns. */
@@ -13,7 +13,7 @@
 }
 
 /** Yields the commands that the node's worker should get now. The attempts that have been known longest come first. */
-export function* pendingCommands(
+export function* generatePendingCommands(
   node: Node,
   mayStart: (attempt: Attempt) => boolean,
 ): Iterable<PendingCommand> {
@@ -40,22 +40,24 @@
   mayStart: (attempt: Attempt) => boolean,
 ): WorkerCommand | undefined {
   const { state, stopRequest, number } = attempt;
-  const task = taskName(attempt);
+  const taskName = formatTaskName(attempt);
   if (state === 'exited')
-    return mayBeAcknowledged(attempt) ? { kind: 'acknowledge', task, attempt: number } : undefined;
+    return mayBeAcknowledged(attempt) ? { kind: 'acknowledge', taskName, attemptNumber: number } : undefined;
   if (stopRequest) {
     // An attempt whose start command was certainly never sent needs no stop command.
     if (state === 'planned' && attempt.directStart === 'none') return undefined;
-    return { kind: 'stop', task, attempt: number, gracePeriodS: stopRequest.gracePeriodS };
+    return { kind: 'stop', taskName, attemptNumber: number, gracePeriodS: stopRequest.gracePeriodS };
   }
-  return state === 'planned' && mayStart(attempt) ? { kind: 'start', task, attempt: number } : undefined;
+  return state === 'planned' && mayStart(attempt)
+    ? { kind: 'start', taskName, attemptNumber: number }
+    : undefined;
 }
 
 /** Whether the worker may forget an exited attempt. */
-function mayBeAcknowledged({ directStart, exitCause, index, job }: Attempt): boolean {
+function mayBeAcknowledged({ directStart, exitCause, taskIndex, job }: Attempt): boolean {
   // A start command that is still in transit has to find the attempt on the worker, or it would be executed again.
   if (directStart !== 'none') return false;
   if (exitCause !== 'completed' || !job?.isOpen) return true;
   // Until the completion is stored, a new leader can learn of it only from the worker's list.
-  return job.persistence.isCompletionPersisted(index);
+  return job.persistence.isCompletionPersisted(taskIndex);
 }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -3,14 +3,18 @@
 import { LeasedRoles } from '@pumicehinge/duties';
 import type { Clock } from '@pumicehinge/runtime';
 import { UserApi } from './api/user-api.js';
-import { CLOUD_RATE_SHARE, DELEGATED_CLOUD_SHARES, WAITING_HEARTBEATS_SHARE } from './constants.js';
+import {
+  CLOUD_RATE_SHARE,
+  DELEGATED_CLOUD_RATE_SHARES,
+  WAITING_HEARTBEATS_SOCKET_SHARE,
+} from './constants.js';
 import { ControllerRoleStore } from './duties/controller-role-store.js';
 import { readCurrentLeader } from './duties/current-leader.js';
 import { HttpCloudProvider } from './duties/http-cloud-provider.js';
 import { findObsoleteRecords } from './duties/obsolete-records.js';
-import { CancellationWatermark, maxCancellationLagMs } from './election/cancellation-watermark.js';
+import { CancellationWatermark, computeMaxCancellationLagMs } from './election/cancellation-watermark.js';
 import { Election } from './election/election.js';
-import type { HttpCaller, HttpRequest, Respond } from './http/message.js';
+import type { HttpClient, HttpRequest, ResponseCallback } from './http/message.js';
 import { Leadership } from './leader/leadership.js';
 import { RunningTaskCounts } from './leader/running-task-counts.js';
 import { MemoryGuard } from './memory-guard.js';
@@ -18,7 +22,7 @@
 import { DependencyGraph } from './pipeline/dependency-graph.js';
 import type { Settings } from './settings.js';
 import { divideMemory } from './sizing.js';
-import { decodeJobDependencies, isJobKey, jobKey, jobUidOfKey, ROOT_PREFIX } from './state/records.js';
+import { decodeJobDependencies, isJobKey, jobKey, parseJobUid, ROOT_PREFIX } from './state/records.js';
 import { StateReplica } from './state/state-replica.js';
 import { StoreClient } from './state/store-client.js';
 import { TransactionBatcher } from './state/transaction-batcher.js';
@@ -35,13 +39,13 @@
   /** When this process started, in milliseconds on the steady clock. */
   readonly processStartMs: number;
   /** Returns how many bytes of heap and buffers are in use. */
-  readonly memoryUsedBytes: () => number;
+  readonly measureUsedBytes: () => number;
   /** The client for calls to the state store and the cloud. */
-  readonly httpClient: HttpCaller;
+  readonly httpClient: HttpClient;
   /** The client for calls to workers. */
-  readonly workerHttpClient: HttpCaller;
+  readonly workerHttpClient: HttpClient;
   /** The transport to the other controllers. */
-  readonly peers: PeerTransport;
+  readonly peerTransport: PeerTransport;
   readonly log: Logger;
 }
 
@@ -70,7 +74,7 @@
     this.storeClient = this.createStoreClient();
     this.replica = new StateReplica(this.storeClient, ROOT_PREFIX, clock, log);
     this.cancellationWatermark = new CancellationWatermark(
-      maxCancellationLagMs(settings.cancelS, settings.leaseS),
+      computeMaxCancellationLagMs(settings.maxCancellationS, settings.leaseDurationS),
     );
     this.jobDependencies = this.createJobDependencies();
     this.replica.onSynced((requestedMs) => this.cancellationWatermark.advance(requestedMs));
@@ -98,8 +102,8 @@
   }
 
   /** Handles a request from a user or a worker. `respond` is called once, either before this method returns or later. */
-  handleRequest(request: HttpRequest, respond: Respond): void {
-    this.userApi.handle(request, respond);
+  handleRequest(request: HttpRequest, respond: ResponseCallback): void {
+    this.userApi.handleRequest(request, respond);
   }
 
   /** Resigns from the current term after an unexpected error. The next leader rebuilds its state from the state store. */
@@ -111,10 +115,10 @@
     const { settings, clock, httpClient } = this.environment;
     return new StoreClient({
       caller: httpClient,
-      address: settings.stateAddress,
+      address: settings.stateStoreAddress,
       clock,
-      limits: settings.state,
-      controllerCount: settings.controllers,
+      limits: settings.stateLimits,
+      controllerCount: settings.controllerCount,
     });
   }
 
@@ -124,13 +128,13 @@
     const graph = new DependencyGraph((uid) => decodeJobDependencies(getValue(jobKey(uid)), getValue));
     this.replica.onChange(({ key, value }) => {
       const dependencies = isJobKey(key) ? decodeJobDependencies(value, getValue) : undefined;
-      if (dependencies) graph.update(jobUidOfKey(key), dependencies);
+      if (dependencies) graph.updateJob(parseJobUid(key), dependencies);
     });
     return graph;
   }
 
   private createElection(): Election {
-    const { settings, clock, random, peers, processStartMs, log } = this.environment;
+    const { settings, clock, random, peerTransport, processStartMs, log } = this.environment;
     return new Election({
       member: settings.member,
       zone: settings.zone,
@@ -138,15 +142,15 @@
       peers: settings.peers,
       storeClient: this.storeClient,
       replica: this.replica,
-      transport: peers,
+      transport: peerTransport,
       callbacks: {
-        onElected: (term) => void this.leadership.begin(term),
-        onLeadershipLost: () => this.leadership.end(),
+        onElected: (term) => void this.leadership.beginTerm(term),
+        onLeadershipLost: () => this.leadership.endTerm(),
       },
       clock,
       random,
       watermark: this.cancellationWatermark,
-      maxValueBytes: settings.state.valueBytes,
+      maxValueBytes: settings.stateLimits.valueBytes,
       processStartMs,
       log,
     });
@@ -155,15 +159,15 @@
   private createLeasedRoles(): LeasedRoles {
     const { settings, clock, random, log, httpClient } = this.environment;
     const { replica, batcher, storeClient } = this;
-    const usableRequestsPerSecond = settings.cloud.rps * CLOUD_RATE_SHARE;
-    const cloudRateShares = DELEGATED_CLOUD_SHARES;
+    const usableRequestsPerSecond = settings.cloudLimits.rps * CLOUD_RATE_SHARE;
+    const cloudRateShares = DELEGATED_CLOUD_RATE_SHARES;
     return new LeasedRoles({
       member: settings.member,
       store: new ControllerRoleStore(replica, batcher, storeClient),
       cloudProvider: new HttpCloudProvider(httpClient, settings.cloudAddress),
       currentLeader: () => readCurrentLeader(replica),
-      obsoleteRecords: (limit) => findObsoleteRecords(replica, limit),
-      maxTransactionOperations: settings.state.txnOps,
+      findObsoleteRecords: (limit) => findObsoleteRecords(replica, limit),
+      maxTransactionOperations: settings.stateLimits.maxTransactionOperations,
       cloudRequestsPerSecond: {
         rent: usableRequestsPerSecond * cloudRateShares.rent,
         return: usableRequestsPerSecond * cloudRateShares.return,
@@ -181,38 +185,38 @@
       settings,
       cancellationWatermark: this.cancellationWatermark,
       jobDependencies: this.jobDependencies,
-      isStateStoreAvailable: () => !this.storeClient.isFailing,
+      isStateStoreAvailable: () => !this.storeClient.lastCallFailed,
       replica: this.replica,
-      batcher: this.batcher,
+      transactionBatcher: this.batcher,
       httpClient,
       workerHttpClient,
       clock,
       log,
       leasedRoles: this.leasedRoles,
       resign: () => this.election.resign(),
-      isZoneUnreachable: (zone) => this.election.view.isZoneSuspect(zone),
+      isZoneUnreachable: (zone) => this.election.leaderView.isZoneSuspect(zone),
       isCurrentTerm: (term) => this.election.isCurrentTerm(term),
     });
   }
 
   private createLeaseRenewalProxy(): LeaseRenewalProxy {
-    const { settings, clock, log, peers } = this.environment;
+    const { settings, clock, log, peerTransport } = this.environment;
     return new LeaseRenewalProxy({
       member: settings.member,
-      valueBytes: settings.state.valueBytes,
+      maxValueBytes: settings.stateLimits.valueBytes,
       replica: this.replica,
       batcher: this.batcher,
       clock,
       log,
-      refusesConnections: (member) => peers.refusesConnections(member),
-      lastContactMs: (member) => this.election.failureDetector.lastMessageMs(member),
+      refusesConnections: (member) => peerTransport.refusesConnections(member),
+      getLastContactMs: (member) => this.election.failureDetector.getLastMessageAtMs(member),
     });
   }
 
   private createMemoryGuard(): MemoryGuard {
-    const { settings, clock, log, memoryUsedBytes } = this.environment;
+    const { settings, clock, log, measureUsedBytes } = this.environment;
     const { rejectUsersAboveBytes } = divideMemory(settings.memoryBytes, settings.peers.length);
-    return new MemoryGuard(clock, memoryUsedBytes, rejectUsersAboveBytes, log);
+    return new MemoryGuard(clock, measureUsedBytes, rejectUsersAboveBytes, log);
   }
 
   private createUserApi(): UserApi {
@@ -221,54 +225,54 @@
       teams: settings.teams,
       replica: this.replica,
       jobDependencies: this.jobDependencies,
-      limits: settings.state,
+      storeLimits: settings.stateLimits,
       random,
       batcher: this.batcher,
       clock,
       log,
-      runningTaskCount: (uid) => this.runningTaskCounts.countOf(uid),
-      isStoreAvailable: () => this.storeClient.isServed,
-      isHealthy: () => this.election.view.isHealthy,
+      countRunningTasks: (uid) => this.runningTaskCounts.getCount(uid),
+      isStoreAvailable: () => this.storeClient.isStoreAvailable,
+      isHealthy: () => this.election.leaderView.isHealthy,
       isShortOfMemory: () => this.memoryGuard.isUnderPressure,
       routeHeartbeat: (heartbeat, body, respond) => this.heartbeatRouter.route(heartbeat, body, respond),
     });
   }
 
   private createHeartbeatRelay(): HeartbeatRelay {
-    const { settings, clock, random, log, peers } = this.environment;
+    const { settings, clock, random, log, peerTransport } = this.environment;
     return new HeartbeatRelay({
       clock,
-      channel: peers,
+      channel: peerTransport,
       log,
       random,
-      maxPending: Math.ceil(settings.sockets.forClients * WAITING_HEARTBEATS_SHARE),
-      leader: () => this.election.view.reachableLeader(),
-      refusingLeader: () => this.heartbeatRouter.refusingLeader(),
+      maxPending: Math.ceil(settings.socketLimits.maxClientConnections * WAITING_HEARTBEATS_SOCKET_SHARE),
+      getReachableLeader: () => this.election.leaderView.getReachableLeader(),
+      getRefusingLeader: () => this.heartbeatRouter.findRefusingLeader(),
       handleLocally: (body, respond) => this.heartbeatRouter.handleLocally(body, respond),
     });
   }
 
   private createHeartbeatRouter(): HeartbeatRouter {
-    const { settings, clock, peers } = this.environment;
+    const { settings, clock, peerTransport } = this.environment;
     return new HeartbeatRouter({
       self: { member: settings.member, zone: settings.zone },
-      leaderView: this.election.view,
-      peers,
+      leaderView: this.election.leaderView,
+      peers: peerTransport,
       clock,
-      leader: () => this.leadership.leader,
-      redirector: () => this.leadership.redirector,
+      getLeaderActor: () => this.leadership.leader,
+      getRedirector: () => this.leadership.relayRedirector,
       leaseRenewalProxy: this.leaseRenewalProxy,
       relay: this.heartbeatRelay,
     });
   }
 
   private createRunningTaskCounts(): RunningTaskCounts {
-    const { settings, clock, peers } = this.environment;
+    const { settings, clock, peerTransport } = this.environment;
     return new RunningTaskCounts({
       peers: settings.peers,
-      transport: peers,
+      transport: peerTransport,
       clock,
-      leader: () => this.leadership.leader,
+      getLeader: () => this.leadership.leader,
     });
   }
 }
--- a/src/duties/http-cloud-provider.ts
+++ b/src/duties/http-cloud-provider.ts
@@ -1,7 +1,7 @@
 /** The cloud API that holders of leased roles call to launch and terminate nodes. */
 import type { CloudProvider, LaunchRequest, LaunchResult, TerminationResult } from '@pumicehinge/duties';
 import {
-  decodeLaunched,
+  decodeLaunchedNames,
   decodeRefusalReason,
   encodeLaunch,
   encodeTermination,
@@ -9,24 +9,24 @@
   TERMINATE_TARGET,
 } from '../autoscaler/cloud-codec.js';
 import { CLOUD_CALL_TIMEOUT_MS } from '../constants.js';
-import type { HttpCaller, HttpResponse } from '../http/message.js';
+import type { HttpClient, HttpResponse } from '../http/message.js';
 import { formatJson } from '../wire/json.js';
 
 /** Calls the cloud over HTTP. It sends each request once, as the caller decides about retries. */
 export class HttpCloudProvider implements CloudProvider {
   /** `address` is the host and port of the cloud. */
   constructor(
-    private readonly caller: HttpCaller,
+    private readonly caller: HttpClient,
     private readonly address: string,
   ) {}
 
   /** Launches nodes. Never rejects. The result is unknown if there is no answer. */
   async launch(request: LaunchRequest): Promise<LaunchResult> {
     const response = await this.post(LAUNCH_TARGET, encodeLaunch(request));
-    if (response?.status === 200) return decodeLaunchResult(response.body, request.count);
+    if (response?.status === 200) return decodeLaunchResult(response.body, request.nodeCount);
     if (response?.status === 503 || response?.status === 400)
       return { kind: 'refused', reason: decodeRefusalReason(response.body) };
-    return { kind: 'unknown', answered: response !== undefined };
+    return { kind: 'unknown', isAnswered: response !== undefined };
   }
 
   /** Terminates nodes. Never rejects. The result is unknown if there is no answer. */
@@ -34,7 +34,7 @@
     const response = await this.post(TERMINATE_TARGET, encodeTermination(names));
     return response?.status === 200
       ? { kind: 'terminated' }
-      : { kind: 'unknown', answered: response !== undefined };
+      : { kind: 'unknown', isAnswered: response !== undefined };
   }
 
   private async post(target: string, body: unknown): Promise<HttpResponse | undefined> {
@@ -54,7 +54,7 @@
 function decodeLaunchResult(text: string, count: number): LaunchResult {
   let names: string[];
   try {
-    names = decodeLaunched(text);
+    names = decodeLaunchedNames(text);
   } catch {
     return { kind: 'refused', reason: 'trouble' };
   }
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -8,9 +8,9 @@
   CAMPAIGN_JITTER_MS,
   LEADER_LEASE_RENEWAL_MS,
   LEADER_LEASE_TTL_MS,
-  LEASE_VOTE_REQUEST_MS,
+  LEASE_VOTE_REQUEST_INTERVAL_MS,
   STATE_CALL_TIMEOUT_MS,
-  STATE_FAILING_AFTER_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
 } from '../constants.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
 import { LEADER_KEY, TERM_KEY } from '../state/records.js';
@@ -63,7 +63,7 @@
   /** Tracks which other controllers are alive and eligible to lead, and to which leader they relay heartbeats. */
   readonly failureDetector: PeerFailureDetector;
   /** What this controller knows about the current leader. */
-  readonly view: LeaderView;
+  readonly leaderView: LeaderView;
   private role: Role = FOLLOWER;
   private readonly campaignSchedule: CampaignSchedule;
   private readonly announcer: StatusAnnouncer;
@@ -77,7 +77,7 @@
     const { clock, peers, replica, transport, watermark } = options;
     const nowMs = (this.nowMs = () => clock.steadyMs());
     const failureDetector = (this.failureDetector = new PeerFailureDetector(peers, nowMs));
-    this.view = new LeaderView({ ...options, failureDetector });
+    this.leaderView = new LeaderView({ ...options, failureDetector });
     this.leaseVoter = new LeaseVoter({
       ...options,
       nowMs,
@@ -87,8 +87,8 @@
     this.voteCollector = new LeaseVoteCollector({ peers, replica, transport, watermark, nowMs });
     this.leadershipTransfer = new LeadershipTransfer({ ...options, failureDetector, nowMs });
     this.campaignSchedule = new CampaignSchedule({ ...options, nowMs }, this.leaseVoter.earliestCampaignAtMs);
-    const { view, campaignSchedule } = this;
-    this.announcer = new StatusAnnouncer({ ...options, leaderView: view, failureDetector, campaignSchedule });
+    const { leaderView, campaignSchedule } = this;
+    this.announcer = new StatusAnnouncer({ ...options, leaderView, failureDetector, campaignSchedule });
     replica.onChange((change) => {
       this.leaseVoter.recordChange(change);
       if (change.key === LEADER_KEY) this.send({ kind: 'leaderKeyChanged' });
@@ -100,7 +100,7 @@
   start(): void {
     const tick = (): void => {
       this.send({ kind: 'tick' });
-      this.options.clock.after(this.tickIntervalMs(), tick);
+      this.options.clock.setTimer(this.tickIntervalMs(), tick);
     };
     tick();
     this.announcer.start();
@@ -125,7 +125,7 @@
       case 'campaignEnded':
         return this.onCampaignEnded(message.campaign);
       case 'campaignFailed':
-        return this.becomeFollower(STATE_FAILING_AFTER_MS);
+        return this.becomeFollower(STATE_UNAVAILABLE_AFTER_MS);
       case 'leaseRenewalAnswered':
         return this.onLeaseRenewalAnswered(message.leaseId, message.requestedAtMs, message.isAlive);
       case 'leaseRenewalFailed':
@@ -142,7 +142,7 @@
 
   private tickIntervalMs(): number {
     if (this.role.kind !== 'leader') return CAMPAIGN_JITTER_MS;
-    return this.options.storeClient.isFailing ? LEASE_VOTE_REQUEST_MS : LEADER_LEASE_RENEWAL_MS;
+    return this.options.storeClient.lastCallFailed ? LEASE_VOTE_REQUEST_INTERVAL_MS : LEADER_LEASE_RENEWAL_MS;
   }
 
   private onTick(): void {
@@ -163,7 +163,7 @@
         this.loseLeadership(role, 'another controller leads');
     } else if (role.kind === 'follower' && !leaderKey) {
       const delayMs = this.campaignSchedule.planAfterLeaderLoss();
-      this.options.clock.after(delayMs + 1, () => this.send({ kind: 'tick' }));
+      this.options.clock.setTimer(delayMs + 1, () => this.send({ kind: 'tick' }));
     }
   }
 
@@ -172,7 +172,7 @@
     if (!replica.isLoaded || !this.campaignSchedule.isCampaignDue) return;
     const leaderKey = replica.get(LEADER_KEY);
     if (leaderKey) {
-      if (this.view.knownLeader() === member) this.deleteOwnLeaderKey(leaderKey);
+      if (this.leaderView.getKnownLeader() === member) this.deleteOwnLeaderKey(leaderKey);
       return;
     }
     if (this.nowMs() < this.leaseVoter.earliestCampaignAtMs) return;
@@ -221,7 +221,7 @@
     this.role = { kind: 'leader', term, lease, electedAtMs: this.nowMs() };
     replica.applyOwnWrite(LEADER_KEY, leaderValue, transactionResult.revision);
     replica.applyOwnWrite(TERM_KEY, encodeTerm(fencingToken), transactionResult.revision);
-    storeClient.setLeading(true);
+    storeClient.setIsLeader(true);
     this.log.info({ term: fencingToken }, 'leadership acquired');
     callbacks.onElected(term);
   }
@@ -233,7 +233,7 @@
         this.send({ kind: 'leaseRenewalAnswered', leaseId: lease.id, requestedAtMs, isAlive }),
       onFailed: () => this.send({ kind: 'leaseRenewalFailed' }),
     });
-    if (this.options.storeClient.isFailing) this.voteCollector.requestVotes(term, requestedAtMs);
+    if (this.options.storeClient.lastCallFailed) this.voteCollector.requestVotes(term, requestedAtMs);
   }
 
   private onLeaseRenewalAnswered(leaseId: WireInt, requestedAtMs: number, isAlive: boolean): void {
@@ -261,7 +261,7 @@
   private loseLeadership({ term, lease }: LeaderRole, reason: string): void {
     const { storeClient, callbacks } = this.options;
     term.authority.revoke();
-    storeClient.setLeading(false);
+    storeClient.setIsLeader(false);
     this.role = FOLLOWER;
     this.voteCollector.abandonRound();
     this.log.info({ term: term.fencingToken, reason }, 'leadership lost');
--- a/src/election/lease-vote-collector.ts
+++ b/src/election/lease-vote-collector.ts
@@ -1,5 +1,5 @@
 /** The leader's side of lease votes. It requests votes while the state store fails, and counts the responses. */
-import { LEASE_VOTE_MS } from '../constants.js';
+import { LEASE_VOTE_DURATION_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
 import type { CancellationsMessage, LeaseVote, LogOffset } from '../peers/peer-messages.js';
 import { decodeJob, isCancelledJob, isJobKey } from '../state/records.js';
@@ -12,7 +12,7 @@
 /** Dependencies of `LeaseVoteCollector`. */
 export interface LeaseVoteCollectorDependencies {
   readonly peers: readonly Peer[];
-  readonly replica: Pick<StateReplica, 'merge' | 'syncedRevision'>;
+  readonly replica: Pick<StateReplica, 'mergeIfNewer' | 'syncedRevision'>;
   readonly transport: Pick<PeerTransport, 'send'>;
   readonly watermark: CancellationWatermark;
   /** Returns the time of the steady clock in milliseconds. */
@@ -59,15 +59,15 @@
     const round = this.findOpenRound(vote, term);
     if (!round || !vote.isGranted) return;
     if (round.recordVote(member))
-      term.authority.extend(round.requestedAtMs, LEASE_VOTE_MS, this.dependencies.nowMs());
+      term.authority.extend(round.requestedAtMs, LEASE_VOTE_DURATION_MS, this.dependencies.nowMs());
     this.recordCancellationsMerged(round, member, round.recordTransfer(member, vote.transfer));
   }
 
   /** Merges the cancellations that a peer sends before its vote. A message that contains anything else is ignored. */
   handleCancellations(member: string, message: CancellationsMessage, term: LeadershipTerm): void {
     const round = this.findOpenRound(message, term);
-    if (!round || !message.jobs.every(isValidCancelledJob)) return;
-    for (const keyValue of message.jobs) this.dependencies.replica.merge(keyValue);
+    if (!round || !message.cancelledJobs.every(isValidCancelledJob)) return;
+    for (const keyValue of message.cancelledJobs) this.dependencies.replica.mergeIfNewer(keyValue);
     this.recordCancellationsMerged(round, member, round.recordCancellations(member));
   }
 
--- a/src/election/peer-failure-detector.ts
+++ b/src/election/peer-failure-detector.ts
@@ -2,7 +2,7 @@
  * Failure detection among controllers. It tracks which peers are alive, which are eligible to lead, and to which leader each
  * of them relays heartbeats.
  */
-import { PEER_HEARTBEAT_MS } from '../constants.js';
+import { PEER_HEARTBEAT_INTERVAL_MS } from '../constants.js';
 import type { StatusMessage } from '../peers/peer-messages.js';
 import type { Peer } from '../peers/peer-transport.js';
 
@@ -10,9 +10,9 @@
  * Milliseconds without a message after which a peer no longer counts as alive. This is longer than `SUSPECT_AFTER_MS` because
  * a peer that is not alive is not used at all.
  */
-const DEAD_AFTER_MS = 3 * PEER_HEARTBEAT_MS;
+const DEAD_AFTER_MS = 3 * PEER_HEARTBEAT_INTERVAL_MS;
 /** Milliseconds without a message after which a peer is suspect, because it may be cut off. */
-const SUSPECT_AFTER_MS = 2 * PEER_HEARTBEAT_MS;
+const SUSPECT_AFTER_MS = 2 * PEER_HEARTBEAT_INTERVAL_MS;
 
 /** Derives the state of the other controllers from their messages. */
 export class PeerFailureDetector {
@@ -34,7 +34,7 @@
   /** Records that a message of any kind arrived, which shows that its sender is alive. */
   recordMessage(member: string): void {
     const nowMs = this.nowMs();
-    if (nowMs - this.lastMessageMs(member) > SUSPECT_AFTER_MS) this.aliveSinceMs.set(member, nowMs);
+    if (nowMs - this.getLastMessageAtMs(member) > SUSPECT_AFTER_MS) this.aliveSinceMs.set(member, nowMs);
     this.lastMessageTimesMs.set(member, nowMs);
   }
 
@@ -46,13 +46,13 @@
   }
 
   /** Returns the time of a peer's last message in milliseconds on the steady clock, or `-Infinity` before the first one. */
-  lastMessageMs(member: string): number {
+  getLastMessageAtMs(member: string): number {
     return this.lastMessageTimesMs.get(member) ?? -Infinity;
   }
 
   /** Whether a peer has recently sent a message. */
   isAlive(member: string): boolean {
-    return this.nowMs() - this.lastMessageMs(member) < DEAD_AFTER_MS;
+    return this.nowMs() - this.getLastMessageAtMs(member) < DEAD_AFTER_MS;
   }
 
   /** Whether at least one peer is alive. */
@@ -74,7 +74,7 @@
     return (
       this.eligibleMembers.has(member) &&
       nowMs - (this.aliveSinceMs.get(member) ?? Infinity) > durationMs &&
-      nowMs - this.lastMessageMs(member) < SUSPECT_AFTER_MS
+      nowMs - this.getLastMessageAtMs(member) < SUSPECT_AFTER_MS
     );
   }
 
@@ -92,6 +92,6 @@
     const peersInZone = this.peers.filter((peer) => peer.zone === zone);
     if (peersInZone.length === 0) return false;
     const nowMs = this.nowMs();
-    return peersInZone.every((peer) => nowMs - this.lastMessageMs(peer.member) > SUSPECT_AFTER_MS);
+    return peersInZone.every((peer) => nowMs - this.getLastMessageAtMs(peer.member) > SUSPECT_AFTER_MS);
   }
 }
--- a/src/election/status-announcer.ts
+++ b/src/election/status-announcer.ts
@@ -2,7 +2,7 @@
  * Regularly announces to the peers whether this controller is eligible to lead, and to which leader it relays heartbeats.
  */
 import type { Clock } from '@pumicehinge/runtime';
-import { PEER_HEARTBEAT_MS } from '../constants.js';
+import { PEER_HEARTBEAT_INTERVAL_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
 import type { StoreClient } from '../state/store-client.js';
 import type { CampaignSchedule } from './campaign-schedule.js';
@@ -13,7 +13,7 @@
 export interface StatusAnnouncerDependencies {
   readonly peers: readonly Peer[];
   readonly transport: Pick<PeerTransport, 'send'>;
-  readonly storeClient: Pick<StoreClient, 'isServed'>;
+  readonly storeClient: Pick<StoreClient, 'isStoreAvailable'>;
   readonly clock: Clock;
   readonly leaderView: LeaderView;
   readonly failureDetector: PeerFailureDetector;
@@ -27,14 +27,14 @@
   /** Announces the status now and then once per heartbeat interval. */
   start(): void {
     this.announce();
-    this.dependencies.clock.after(PEER_HEARTBEAT_MS, () => this.start());
+    this.dependencies.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
   }
 
   private announce(): void {
     const { peers, transport, storeClient, leaderView, failureDetector, campaignSchedule } =
       this.dependencies;
-    const isEligible = storeClient.isServed && !campaignSchedule.hasRecentlySteppedDown;
-    const leader = leaderView.knownLeader();
+    const isEligible = storeClient.isStoreAvailable && !campaignSchedule.hasRecentlySteppedDown;
+    const leader = leaderView.getKnownLeader();
     const relayTarget = leader !== undefined && failureDetector.isAlive(leader) ? leader : null;
     for (const peer of peers) transport.send(peer.member, { kind: 'status', isEligible, relayTarget });
   }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,12 +1,17 @@
 /** HTTP client with pooled connections over TCP sockets. */
 import { Socket } from 'node:net';
 import type { Clock } from '@pumicehinge/runtime';
-import { MAX_ANSWER_BYTES, POOL_IDLE_MS, POOL_QUEUE, POOL_SIZE } from '../constants.js';
 import {
-  AnswerTooLargeError,
-  CallError,
-  type CallFailure,
-  type HttpCaller,
+  MAX_RESPONSE_BYTES,
+  POOL_IDLE_TIMEOUT_MS,
+  MAX_POOL_QUEUE_CALLS,
+  MAX_POOL_CONNECTIONS,
+} from '../constants.js';
+import {
+  ResponseTooLargeError,
+  HttpCallError,
+  type HttpCallFailure,
+  type HttpClient,
   type HttpResponse,
 } from './message.js';
 import { HttpParser, HttpSyntaxError } from './parser.js';
@@ -16,7 +21,7 @@
 interface PendingCall {
   requestText: string;
   resolve: (response: HttpResponse) => void;
-  reject: (error: CallError) => void;
+  reject: (error: HttpCallError) => void;
   /** Whether the request was written to a socket. */
   isSent: boolean;
   /** Whether the call was resolved or rejected. */
@@ -24,7 +29,7 @@
   cancelTimer: () => void;
 }
 
-const determineFailure = (call: PendingCall): CallFailure => (call.isSent ? 'unclear' : 'unsent');
+const determineFailure = (call: PendingCall): HttpCallFailure => (call.isSent ? 'unclear' : 'unsent');
 
 /** A kept-alive connection that carries one call at a time. */
 class ClientConnection {
@@ -103,7 +108,7 @@
     this.call = undefined;
     this.socket.destroy();
     call?.reject(
-      isTooLarge ? new AnswerTooLargeError(reason) : new CallError(determineFailure(call), reason),
+      isTooLarge ? new ResponseTooLargeError(reason) : new HttpCallError(determineFailure(call), reason),
     );
     this.onReleased(this, false);
   }
@@ -160,8 +165,8 @@
   ) {}
 
   submit(call: PendingCall): void {
-    if (this.queuedCalls.length >= POOL_QUEUE) {
-      call.reject(new CallError('unsent', 'too many queued calls'));
+    if (this.queuedCalls.length >= MAX_POOL_QUEUE_CALLS) {
+      call.reject(new HttpCallError('unsent', 'too many queued calls'));
       return;
     }
     this.queuedCalls.push(call);
@@ -178,7 +183,10 @@
 
   closeIdleConnections(nowMs: number): void {
     // The connection is removed from the list here because the `close` event of its socket comes only after this loop.
-    while (this.idleConnections.length > 0 && nowMs - this.idleConnections[0]!.idleSinceMs > POOL_IDLE_MS)
+    while (
+      this.idleConnections.length > 0 &&
+      nowMs - this.idleConnections[0]!.idleSinceMs > POOL_IDLE_TIMEOUT_MS
+    )
       this.idleConnections.shift()!.close();
   }
 
@@ -208,7 +216,7 @@
 
   private rejectQueuedCalls(): void {
     for (const call of this.queuedCalls.splice(0))
-      call.reject(new CallError('unsent', 'connection limit reached'));
+      call.reject(new HttpCallError('unsent', 'connection limit reached'));
   }
 
   private openConnection(): ClientConnection | undefined {
@@ -235,7 +243,7 @@
 }
 
 /** HTTP client with a bounded pool of connections per address and a timeout per call. */
-export class SocketCaller implements HttpCaller {
+export class SocketHttpClient implements HttpClient {
   private readonly pools = new Map<string, ConnectionPool>();
   private cancelIdleSweep = (): void => undefined;
   private readonly budget: ConnectionBudget;
@@ -243,18 +251,18 @@
   constructor(
     private readonly clock: Clock,
     /** Limit of the open connections to one address. */
-    private readonly maxConnectionsPerAddress: number = POOL_SIZE,
+    private readonly maxConnectionsPerAddress: number = MAX_POOL_CONNECTIONS,
     /** Limit of the open connections to all addresses together. */
     maxConnections = Infinity,
     /** Size limit of one response body, in bytes. */
-    private readonly maxResponseBytes: number = MAX_ANSWER_BYTES,
+    private readonly maxResponseBytes: number = MAX_RESPONSE_BYTES,
   ) {
     this.budget = new ConnectionBudget(maxConnections);
     this.scheduleIdleSweep();
   }
 
   /**
-   * Sends a request and resolves with its response. Rejects with a `CallError` if the connection fails, if the timeout expires
+   * Sends a request and resolves with its response. Rejects with an `HttpCallError` if the connection fails, if the timeout expires
    * or if too many calls wait for a connection.
    */
   call(
@@ -288,8 +296,8 @@
           reject(error);
         },
       };
-      call.cancelTimer = this.clock.after(timeoutMs, () =>
-        call.reject(new CallError(determineFailure(call), 'timed out')),
+      call.cancelTimer = this.clock.setTimer(timeoutMs, () =>
+        call.reject(new HttpCallError(determineFailure(call), 'timed out')),
       );
       let pool = this.pools.get(address);
       if (!pool)
@@ -315,7 +323,7 @@
 
   /** Closes idle connections and removes unused pools at regular intervals. */
   private scheduleIdleSweep(): void {
-    this.cancelIdleSweep = this.clock.after(POOL_IDLE_MS / 2, () => {
+    this.cancelIdleSweep = this.clock.setTimer(POOL_IDLE_TIMEOUT_MS / 2, () => {
       const nowMs = this.clock.steadyMs();
       for (const [address, pool] of this.pools) {
         pool.closeIdleConnections(nowMs);
--- a/src/leader/fleet-reconciler.ts
+++ b/src/leader/fleet-reconciler.ts
@@ -21,7 +21,7 @@
   MIN_BILLED_MS,
 } from '../constants.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import { remainingRunS } from '../scheduler/time-estimates.js';
+import { estimateRemainingRunS } from '../scheduler/time-estimates.js';
 import type { Settings } from '../settings.js';
 import type { CommandDispatcher } from '../workers/command-dispatcher.js';
 import type { TermReconciliation } from './term-reconciliation.js';
@@ -34,9 +34,9 @@
   readonly nodeHealth: NodeHealth;
   readonly reconciliation: Pick<TermReconciliation, 'confirmLeaseExpiry' | 'markReconciled'>;
   readonly nodeRecords: Pick<NodeRecords, 'remove'>;
-  readonly commandDispatcher: Pick<CommandDispatcher, 'stop'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'requestStop'>;
   readonly provisioner: Pick<Provisioner, 'terminate'>;
-  readonly autoscaler: Pick<Autoscaler, 'isHeadroom'>;
+  readonly autoscaler: Pick<Autoscaler, 'isReservedForHeadroom'>;
   readonly spotInterruptionRate: SpotInterruptionRate;
   /** Returns the resources of a node of this instance type. */
   readonly getCapacity: (typeName: string) => Resources;
@@ -108,7 +108,7 @@
       // The list lags, so it may still contain instances that were deleted a moment ago.
       if (!this.wasRecentlyDeleted(instance.name)) this.mergeInstance(instance, requestedMs, nowMs);
     }
-    const maxListLagMs = settings.cloud.listLagS * 2000 + INSTANCE_LIST_MARGIN_MS;
+    const maxListLagMs = settings.cloudLimits.maxListLagS * 2000 + INSTANCE_LIST_MARGIN_MS;
     // A missing list entry does not prove that the tasks of the node have ended. Deleting the node proves it and
     // costs nothing.
     for (const node of clusterState.nodes.values()) {
@@ -132,7 +132,7 @@
   }
 
   private terminateNode(node: Node, reason: TerminationReason): void {
-    if (node.terminating || !this.dependencies.term.authority.isValid(this.dependencies.nowMs())) return;
+    if (node.isTerminating || !this.dependencies.term.authority.isValid(this.dependencies.nowMs())) return;
     node.markTerminating();
     this.dependencies.log.info({ node: node.name, reason }, 'node termination requested');
     if (node.spot && reason !== 'idle' && node.lastHeartbeatMs > -Infinity)
@@ -151,7 +151,7 @@
       if (nodeHealth.isSchedulable(node, nowMs)) continue;
       for (const attempt of [...node.attempts.values()])
         if (attempt.state === 'planned' && attempt.directStart === 'none')
-          clusterState.withdrawPlanned(attempt);
+          clusterState.withdrawPlannedAttempt(attempt);
       this.drainNode(node, nowMs);
     }
   }
@@ -171,7 +171,7 @@
       const { job } = attempt;
       if (!job || attempt.state === 'exited') continue;
       if (this.mustStopBeforeInterruption(job, attempt, { remainingS, nowMs }))
-        this.dependencies.commandDispatcher.stop(attempt, DRAIN_GRACE_PERIOD_S);
+        this.dependencies.commandDispatcher.requestStop(attempt, DRAIN_GRACE_PERIOD_S);
     }
   }
 
@@ -188,15 +188,15 @@
     if (job.isService) return true;
     const { checkpointIntervalS, checkpointS } = job.spec;
     if (checkpointIntervalS > 0)
-      return remainingS < checkpointS + this.dependencies.settings.reportS + CHECKPOINT_MARGIN_S;
+      return remainingS < checkpointS + this.dependencies.settings.heartbeatIntervalS + CHECKPOINT_MARGIN_S;
     // The work of this task would be lost anyway, so it restarts elsewhere as early as possible.
-    return checkpointIntervalS === 0 && remainingRunS(attempt, nowMs) > remainingS;
+    return checkpointIntervalS === 0 && estimateRemainingRunS(attempt, nowMs) > remainingS;
   }
 
   /** Terminates nodes that are idle, unreachable or never finished booting. */
   terminateUnneededNodes(nowMs: number): void {
     for (const node of this.dependencies.clusterState.nodes.values()) {
-      if (node.terminating) continue;
+      if (node.isTerminating) continue;
       const reason = this.findTerminationReason(node, nowMs);
       if (reason) this.terminateNode(node, reason);
     }
@@ -218,7 +218,7 @@
   }
 
   private isIdleLongEnough(node: Node, nowMs: number): boolean {
-    if (node.attempts.size > 0 || this.dependencies.autoscaler.isHeadroom(node)) return false;
+    if (node.attempts.size > 0 || this.dependencies.autoscaler.isReservedForHeadroom(node)) return false;
     const idleKeepMs = this.dependencies.settings.operator.idleKeepS * 1000;
     return nowMs - node.idleSinceMs > idleKeepMs && nowMs - node.launchedMs > MIN_BILLED_MS;
   }
--- a/src/leader/job-store.ts
+++ b/src/leader/job-store.ts
@@ -1,6 +1,6 @@
 /** The jobs of a leader's term. They are read from the state store, updated when it changes, and written back to it. */
 import type { Logger } from 'pino';
-import { COMPLETION_SEGMENTS_PER_WRITE, MALFORMED_VALUE_RETRY_MS } from '../constants.js';
+import { MAX_COMPLETION_SEGMENTS_PER_WRITE, MALFORMED_VALUE_RETRY_DELAY_MS } from '../constants.js';
 import type { Job } from '../cluster/cluster-state.js';
 import { propagatePriority } from '../pipeline/inherited-priority.js';
 import { Job as PipelineJob } from '../pipeline/job.js';
@@ -9,12 +9,12 @@
 import { RunTimeEstimator } from '../pipeline/run-time-estimator.js';
 import {
   JOBS_PREFIX,
-  completionSegmentCount,
+  countCompletionSegments,
   completionSegmentKey,
   decodeJob,
   encodeJob,
   jobKey,
-  jobUidOfKey,
+  parseJobUid,
   readDependencies,
   type JobRecord,
 } from '../state/records.js';
@@ -69,7 +69,7 @@
     for (const job of this.jobs.values()) {
       if (!job.isOpen) continue;
       let runningCount = 0;
-      for (const attempt of job.allocations.values())
+      for (const attempt of job.attemptByTask.values())
         if (attempt.state === 'running' || attempt.state === 'saving') runningCount++;
       if (runningCount > 0) countsByJob[job.uid] = runningCount;
     }
@@ -78,7 +78,7 @@
 
   /** Applies a stored value of a job. An unknown job is added, and a newer value of a known job is merged into it. */
   applyChange({ key, value, modRevision }: KeyChange): void {
-    const uid = jobUidOfKey(key);
+    const uid = parseJobUid(key);
     const record = decodeJob(value);
     if (!record) return;
     const job = this.jobs.get(uid);
@@ -100,8 +100,8 @@
       record,
       spec,
       modRevision,
-      objectives,
-      runTimes: runTimeEstimator,
+      deadlineObjectives: objectives,
+      runTimeEstimator,
       dependencies: dependencyUids,
     });
     this.mergeCompletionSegments(job);
@@ -134,7 +134,7 @@
    * its segments are not known yet.
    */
   private mergeCompletionSegments(job: Job): void {
-    for (let segment = 1; segment < completionSegmentCount(job.spec.tasks); segment++) {
+    for (let segment = 1; segment < countCompletionSegments(job.spec.tasks); segment++) {
       const stored = this.dependencies.replica.get(completionSegmentKey(job.uid, segment));
       if (stored) job.persistence.applySegment(segment, stored.value, stored.modRevision);
     }
@@ -147,21 +147,21 @@
   persist(job: Job): void {
     const { persistence } = job;
     if (
-      persistence.writeInProgress ||
+      persistence.isWriteInProgress ||
       !job.needsWrite ||
-      this.dependencies.wallMs() < persistence.writeNotBeforeMs
+      this.dependencies.wallMs() < persistence.earliestWriteMs
     )
       return;
     // Only a few segments are written at a time, so that a write stays within the limits of the state store.
     const write = job.beginWrite(
-      Math.min(COMPLETION_SEGMENTS_PER_WRITE, this.dependencies.maxOperations - 1),
+      Math.min(MAX_COMPLETION_SEGMENTS_PER_WRITE, this.dependencies.maxOperations - 1),
     );
     const conditions: Condition[] = [{ key: jobKey(job.uid), modRevision: write.modRevision }];
     const operations: Operation[] = [{ key: jobKey(job.uid), value: encodeJob(write.record) }];
-    for (const { segment, text, modRevision } of write.segments) {
-      const key = completionSegmentKey(job.uid, segment);
+    for (const { segmentIndex, encodedBitmap, modRevision } of write.segments) {
+      const key = completionSegmentKey(job.uid, segmentIndex);
       conditions.push({ key, modRevision });
-      operations.push({ key, value: text });
+      operations.push({ key, value: encodedBitmap });
     }
     void this.dependencies
       .commit(conditions, operations)
@@ -177,8 +177,8 @@
     }
     job.persistence.abortWrite(write);
     // A value that the state store rejects as malformed would be rejected again, so it is not resent at once.
-    if (result.outcome === 'refused' && result.malformed) {
-      job.persistence.postponeWrites(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_MS);
+    if (result.outcome === 'refused' && result.isMalformed) {
+      job.persistence.postponeWritesUntil(this.dependencies.wallMs() + MALFORMED_VALUE_RETRY_DELAY_MS);
       this.dependencies.log.error({ job: job.uid }, 'job write rejected as malformed');
     }
     // Another controller may have written a cancellation, or the outcome may be unknown. The stored value decides.
--- a/src/leader/leader-dependencies.ts
+++ b/src/leader/leader-dependencies.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '@pumicehinge/runtime';
 import type { CancellationWatermark } from '../election/cancellation-watermark.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import type { HttpCaller } from '../http/message.js';
+import type { HttpClient } from '../http/message.js';
 import type { DependencyGraph } from '../pipeline/dependency-graph.js';
 import type { Settings } from '../settings.js';
 import type { StateReplica } from '../state/state-replica.js';
@@ -16,14 +16,14 @@
   readonly settings: Settings;
   readonly term: LeadershipTerm;
   readonly cancellationWatermark: CancellationWatermark;
-  readonly jobDependencies: Pick<DependencyGraph, 'statusOf'>;
+  readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
   /** Whether the state store responded to the last call. */
   readonly isStateStoreAvailable: () => boolean;
   readonly replica: StateReplica;
-  readonly batcher: TransactionBatcher;
+  readonly transactionBatcher: TransactionBatcher;
   /** Client for calls to the cloud. */
-  readonly httpClient: HttpCaller;
-  readonly workerHttpClient: HttpCaller;
+  readonly httpClient: HttpClient;
+  readonly workerHttpClient: HttpClient;
   readonly clock: Clock;
   readonly log: Logger;
   /**
--- a/src/leader/leadership.ts
+++ b/src/leader/leadership.ts
@@ -1,6 +1,6 @@
 /** Manages the leader of this controller, which is built when a term begins and discarded when the term ends. */
 import { sleep } from '@pumicehinge/runtime';
-import { STATE_RETRY_MS } from '../constants.js';
+import { STATE_RETRY_DELAY_MS } from '../constants.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
 import { RelayRedirector } from '../workers/relay-redirector.js';
 import { Leader } from './leader.js';
@@ -25,7 +25,7 @@
   }
 
   /** Redirects heartbeats from the leader to other controllers. Undefined while there is no leader here. */
-  get redirector(): RelayRedirector | undefined {
+  get relayRedirector(): RelayRedirector | undefined {
     return this.currentRedirector;
   }
 
@@ -33,7 +33,7 @@
    * Builds the leader once the replica holds everything that earlier terms wrote. No leader is built if the term ends
    * before that.
    */
-  async begin(term: LeadershipTerm): Promise<void> {
+  async beginTerm(term: LeadershipTerm): Promise<void> {
     const { isCurrentTerm, ...leaderDependencies } = this.dependencies;
     const { replica, clock } = this.dependencies;
     for (;;) {
@@ -42,7 +42,7 @@
         break;
       } catch {
         // The read is repeated after any failure, because nothing may be decided without it.
-        await sleep(clock, STATE_RETRY_MS);
+        await sleep(clock, STATE_RETRY_DELAY_MS);
       }
     }
     if (!isCurrentTerm(term)) return;
@@ -51,7 +51,7 @@
   }
 
   /** Stops and discards the leader. */
-  end(): void {
+  endTerm(): void {
     this.currentLeader?.stop();
     this.currentLeader = undefined;
     this.currentRedirector = undefined;
--- a/src/leader/running-task-counts.ts
+++ b/src/leader/running-task-counts.ts
@@ -3,7 +3,7 @@
  * controllers.
  */
 import type { Clock } from '@pumicehinge/runtime';
-import { PEER_HEARTBEAT_MS } from '../constants.js';
+import { PEER_HEARTBEAT_INTERVAL_MS } from '../constants.js';
 import type { Peer, PeerTransport } from '../peers/peer-transport.js';
 import type { Leader } from './leader.js';
 
@@ -14,7 +14,7 @@
   readonly transport: PeerTransport;
   readonly clock: Clock;
   /** Returns the leader, or undefined while this controller does not lead. */
-  readonly leader: () => Pick<Leader, 'countRunningTasks'> | undefined;
+  readonly getLeader: () => Pick<Leader, 'countRunningTasks'> | undefined;
 }
 
 /** Holds the latest counts that this controller knows. They may be some seconds old and are for display only. */
@@ -23,23 +23,23 @@
 
   constructor(private readonly dependencies: RunningTaskCountsDependencies) {
     dependencies.transport.onMessage((_member, message) => {
-      if (message.kind === 'counts' && !dependencies.leader()) this.countsByJob = message.running;
+      if (message.kind === 'counts' && !dependencies.getLeader()) this.countsByJob = message.running;
     });
   }
 
   /** Returns the latest known number of running tasks of a job. */
-  countOf(jobUid: string): number {
+  getCount(jobUid: string): number {
     return this.countsByJob[jobUid] ?? 0;
   }
 
   /** Broadcasts the counts now and then once per interval of the peer heartbeats, while this controller leads. */
   start(): void {
     this.broadcast();
-    this.dependencies.clock.after(PEER_HEARTBEAT_MS, () => this.start());
+    this.dependencies.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
   }
 
   private broadcast(): void {
-    const leader = this.dependencies.leader();
+    const leader = this.dependencies.getLeader();
     if (!leader) return;
     this.countsByJob = leader.countRunningTasks();
     for (const { member } of this.dependencies.peers)
--- a/src/scheduler/placement-constraints.ts
+++ b/src/scheduler/placement-constraints.ts
@@ -2,7 +2,7 @@
  * The rules about where a task may run, as pure functions. A placement that violates them breaks the rule `wrong_place`
  * of the protocol.
  */
-import { EPSILON } from '../constants.js';
+import { RESOURCE_TOLERANCE } from '../constants.js';
 import type { Resources } from '../cluster/resources.js';
 import type { JobSpec } from '../state/records.js';
 
@@ -47,7 +47,7 @@
 }
 
 /** Returns how many more tasks of the job may run in the zone. */
-export function remainingZoneTasks(
+export function countRemainingZoneTasks(
   spec: JobSpec,
   allocationsPerZone: ReadonlyMap<string, number>,
   zone: string,
@@ -59,14 +59,14 @@
 /** Whether one task of this size fits into the free resources. */
 export function fits(taskSize: Resources, free: Resources): boolean {
   return (
-    taskSize.cpus <= free.cpus + EPSILON &&
-    taskSize.accelerators <= free.accelerators + EPSILON &&
-    taskSize.memGb <= free.memGb + EPSILON
+    taskSize.cpus <= free.cpus + RESOURCE_TOLERANCE &&
+    taskSize.accelerators <= free.accelerators + RESOURCE_TOLERANCE &&
+    taskSize.memGb <= free.memGb + RESOURCE_TOLERANCE
   );
 }
 
 /** Returns how many tasks of this size fit into the free resources, or 0 for a task that needs no resources. */
-export function tasksThatFit(taskSize: Resources, free: Resources): number {
+export function countFittingTasks(taskSize: Resources, free: Resources): number {
   const count = Math.min(
     countUnitsThatFit(taskSize.cpus, free.cpus),
     countUnitsThatFit(taskSize.accelerators, free.accelerators),
@@ -76,5 +76,5 @@
 }
 
 function countUnitsThatFit(needed: number, available: number): number {
-  return needed > 0 ? Math.floor((available + EPSILON) / needed) : Infinity;
+  return needed > 0 ? Math.floor((available + RESOURCE_TOLERANCE) / needed) : Infinity;
 }
--- a/src/scheduler/preemptor.ts
+++ b/src/scheduler/preemptor.ts
@@ -1,6 +1,12 @@
 /** Stops running tasks of lower rank, or of teams that exceed their guarantee, for waiting jobs. */
 import type { Logger } from 'pino';
-import { taskName, type Attempt, type ClusterState, type Job, type Node } from '../cluster/cluster-state.js';
+import {
+  formatTaskName,
+  type Attempt,
+  type ClusterState,
+  type Job,
+  type Node,
+} from '../cluster/cluster-state.js';
 import { addResources } from '../cluster/resources.js';
 import {
   MISSED_DEADLINE_PENALTY_S,
@@ -15,7 +21,12 @@
 import { compareByCost, rankPreemptions, type JobAttempt, type Preemption } from './preemption.js';
 import { PreemptionSearch, type PreemptionScope } from './preemption-search.js';
 import type { QuotaTracker } from './quota-tracker.js';
-import { estimateImagePullS, remainingRunS, timeToDeadlineS, type ImagePullRate } from './time-estimates.js';
+import {
+  estimateImagePullS,
+  estimateRemainingRunS,
+  getTimeToDeadlineS,
+  type ImagePullRate,
+} from './time-estimates.js';
 
 /** The dependencies of `Preemptor`. */
 export interface PreemptorDependencies {
@@ -69,14 +80,17 @@
 
   /** Whether the job may use a zone that has nodes and is not known to be exhausted. */
   private hasZoneToSearch(job: Job, scope: PreemptionScope): boolean {
-    for (const zone of this.dependencies.clusterState.nodesPerZone.keys())
+    for (const zone of this.dependencies.clusterState.nodeCountByZone.keys())
       if (allowsZone(job.spec, job.allocationsPerZone, zone) && !scope.isZoneExhausted(zone, job.spec))
         return true;
     return false;
   }
 
   private preemptForJob(job: Job, scope: PreemptionScope, nodes: FreeCapacityIndex, nowMs: number): void {
-    let remainingTasks = Math.min(job.pendingTasks, this.dependencies.quotaTracker.countRemainingTasks(job));
+    let remainingTasks = Math.min(
+      job.pendingTaskCount,
+      this.dependencies.quotaTracker.countRemainingTasks(job),
+    );
     if (remainingTasks <= 0) return;
     const allocationsPerZone = new Map(job.allocationsPerZone);
     for (const preemption of this.findPreemptions(job, scope, nodes, nowMs)) {
@@ -116,7 +130,7 @@
     // The capacity is reserved for the waiting task during this search. The next search counts it as free again.
     addResources(nodeCapacity.free, job.spec, -1);
     for (const victim of victims) {
-      this.dependencies.log.info({ task: taskName(victim), for: job.uid }, 'task preempted');
+      this.dependencies.log.info({ task: formatTaskName(victim), for: job.uid }, 'task preempted');
       this.dependencies.stopTask(victim, victim.job.spec.checkpointS);
     }
   }
@@ -127,9 +141,9 @@
    */
   private computeStopCostS(victim: JobAttempt, nowMs: number): number {
     const elapsedRunS = (nowMs - victim.startedMs) / 1000;
-    const deadlineS = timeToDeadlineS(victim.job, this.dependencies.wallMs());
+    const deadlineS = getTimeToDeadlineS(victim.job, this.dependencies.wallMs());
     const wouldMissDeadline =
-      deadlineS >= remainingRunS(victim, nowMs) && deadlineS < victim.job.progress.expectedRunTimeS;
+      deadlineS >= estimateRemainingRunS(victim, nowMs) && deadlineS < victim.job.progress.expectedRunTimeS;
     return elapsedRunS + (wouldMissDeadline ? MISSED_DEADLINE_PENALTY_S : 0);
   }
 
--- a/src/scheduler/quota-tracker.ts
+++ b/src/scheduler/quota-tracker.ts
@@ -28,12 +28,12 @@
   recountUnreconciledUsage(): void {
     this.unreconciledUsage.clear();
     if (this.dependencies.isReconciled()) return;
-    for (const { spec, startedInEarlierTerm, pendingTasks } of this.dependencies.jobs.values()) {
+    for (const { spec, startedInEarlierTerm, pendingTaskCount } of this.dependencies.jobs.values()) {
       if (!startedInEarlierTerm) continue;
       const usage = this.unreconciledUsage.get(spec.team) ?? { cpus: 0, accelerators: 0, memGb: 0 };
       this.unreconciledUsage.set(spec.team, usage);
-      usage.cpus += pendingTasks * spec.cpus;
-      usage.accelerators += pendingTasks * spec.accelerators;
+      usage.cpus += pendingTaskCount * spec.cpus;
+      usage.accelerators += pendingTaskCount * spec.accelerators;
     }
   }
 
@@ -45,7 +45,7 @@
     const { team } = job.spec;
     const quota = this.dependencies.quotas.get(team);
     if (!quota) return 0;
-    const used = { ...this.dependencies.clusterState.usage(team) };
+    const used = { ...this.dependencies.clusterState.getTeamUsage(team) };
     if (plannedUsage) addResources(used, plannedUsage, 1);
     const unreconciled = this.unreconciledUsage.get(team);
     if (unreconciled) addResources(used, unreconciled, 1);
@@ -56,6 +56,6 @@
   exceedsGuarantee({ spec }: Job): boolean {
     const quota = this.dependencies.quotas.get(spec.team);
     if (!quota) return false;
-    return this.dependencies.clusterState.usage(spec.team).cpus - spec.cpus >= quota.guaranteedCpus;
+    return this.dependencies.clusterState.getTeamUsage(spec.team).cpus - spec.cpus >= quota.guaranteedCpus;
   }
 }
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -1,11 +1,11 @@
-import { CallError, type HttpCaller, type HttpResponse } from '../http/message.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../http/message.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import type { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 import { NO_OBSERVER, type ObservedRequest, type TrafficObserver } from './traffic-observer.js';
 
 /** Handles a request that arrives at a simulated host. Resolves to undefined if the caller gets no answer. */
-export type SimHandler = (
+export type SimulatedHandler = (
   from: string,
   method: string,
   target: string,
@@ -22,8 +22,8 @@
 const formatLink = (from: string, to: string): string => `${from} > ${to}`;
 
 /** Carries messages between named hosts. A partition holds messages back and delivers them in order when it heals. */
-export class SimNetwork {
-  private readonly handlers = new Map<string, SimHandler>();
+export class SimulatedNetwork {
+  private readonly handlers = new Map<string, SimulatedHandler>();
   /** Active partitions, by the sender and receiver of the link. */
   private readonly partitions = new Map<string, Partition>();
   private readonly zonesByHost = new Map<string, string>();
@@ -48,7 +48,7 @@
   ) {}
 
   /** Registers the handler of a host and the address at which it is reached. */
-  attach(host: string, address: string, handler: SimHandler): void {
+  attach(host: string, address: string, handler: SimulatedHandler): void {
     this.handlers.set(host, handler);
     this.hostsByAddress.set(address, host);
   }
@@ -97,7 +97,7 @@
     ].flat();
     this.pausedHostActions.delete(host);
     this.heldOutboundMessages.delete(host);
-    for (const run of pendingActions) this.clock.after(1 + this.random() * 3, run);
+    for (const run of pendingActions) this.clock.setTimer(1 + this.random() * 3, run);
   }
 
   /** Runs an action on a host, after the end of its pause if it is paused. */
@@ -113,7 +113,7 @@
   }
 
   /** Partitions all zones from each other. Hosts without a zone stay reachable. */
-  cutZones(): void {
+  partitionZones(): void {
     this.areZonesPartitioned = true;
   }
 
@@ -141,7 +141,7 @@
     const partitions = [...this.partitions.values()];
     this.partitions.clear();
     for (const partition of partitions)
-      for (const deliver of partition.heldMessages) this.clock.after(1, deliver);
+      for (const deliver of partition.heldMessages) this.clock.setTimer(1, deliver);
   }
 
   /** Delivers a message after a random delay, unless a fault drops it or holds it back. */
@@ -150,11 +150,11 @@
     const partition = this.findPartition(from, to);
     const heldMessages = partition?.heldMessages ?? this.heldOutboundMessages.get(from);
     if (heldMessages) heldMessages.push(run);
-    else this.clock.after(1 + this.random() * 3, () => this.runOnHost(to, run));
+    else this.clock.setTimer(1 + this.random() * 3, () => this.runOnHost(to, run));
   }
 
   /** Creates an HTTP client of a host. A client that is no longer alive ignores responses. */
-  createCaller(from: string, isAlive: () => boolean): HttpCaller {
+  createCaller(from: string, isAlive: () => boolean): HttpClient {
     return {
       call: (address, method, target, body, timeoutMs) =>
         new Promise((resolve, reject) => {
@@ -166,11 +166,11 @@
             isSettled = true;
             run();
           };
-          this.clock.after(timeoutMs, () =>
+          this.clock.setTimer(timeoutMs, () =>
             this.runOnHost(from, () =>
               settleOnce(() => {
                 this.observer.callFailed(request, 'timed out');
-                reject(new CallError('unclear', 'timed out'));
+                reject(new HttpCallError('unclear', 'timed out'));
               }),
             ),
           );
@@ -178,13 +178,16 @@
           if (this.hostsWithoutOwnRequests.has(from)) return;
           const drawDelayMs = this.duplicateDelays.get(from);
           if (drawDelayMs)
-            this.clock.after(drawDelayMs(), () => void this.handlers.get(to)?.(from, method, target, body));
+            this.clock.setTimer(
+              drawDelayMs(),
+              () => void this.handlers.get(to)?.(from, method, target, body),
+            );
           this.deliver(from, to, () => {
             const handler = this.handlers.get(to);
             if (!handler) {
               settleOnce(() => {
                 this.observer.callFailed(request, 'refused');
-                reject(new CallError('unsent', 'refused'));
+                reject(new HttpCallError('unsent', 'refused'));
               });
               return;
             }
@@ -214,12 +217,12 @@
 }
 
 /** Carries messages between controllers over the simulated network. */
-export class SimPeerNetwork {
+export class SimulatedPeerNetwork {
   private readonly listeners = new Map<string, (member: string, message: PeerMessage) => void>();
   /** Controllers that send only what the version without forwarding of cancellations sends. */
-  readonly former = new Set<string>();
+  readonly formerVersionMembers = new Set<string>();
 
-  constructor(private readonly network: SimNetwork) {}
+  constructor(private readonly network: SimulatedNetwork) {}
 
   /** Creates the transport of a controller's process. */
   createTransport(member: string, isAlive: () => boolean): PeerTransport {
@@ -229,7 +232,7 @@
     });
     return {
       send: (to, message) => {
-        const sent = this.former.has(member) ? toFormerVersion(message) : message;
+        const sent = this.formerVersionMembers.has(member) ? toFormerVersion(message) : message;
         if (isAlive() && sent) {
           this.network.observer.peerMessageSent(member, to, sent);
           this.network.deliver(member, to, () => this.listeners.get(to)?.(member, sent));
--- a/src/simulation/workers.ts
+++ b/src/simulation/simulated-worker.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@pumicehinge/runtime';
-import type { HttpCaller, HttpResponse } from '../http/message.js';
-import type { SimNetwork } from './network.js';
-import type { RuleChecker } from './rules.js';
+import type { HttpClient, HttpResponse } from '../http/message.js';
+import type { SimulatedNetwork } from './network.js';
+import type { RuleChecker } from './rule-checker.js';
 
 /** One attempt of a task on this worker. */
 interface Task {
@@ -32,7 +32,7 @@
 /**
  * Simulated worker, written from the protocol of the real one: leases, sessions, tokens, reports and direct commands.
  */
-export class SimWorker {
+export class SimulatedWorker {
   private readonly tasks = new Map<string, Task>();
   private session = 1;
   private reportNumber = 0;
@@ -42,15 +42,15 @@
   private isReporting = false;
   private isAlive = true;
   /** While true, the machine neither runs tasks nor handles messages, and its clock runs on. */
-  hanging = false;
-  private readonly httpCaller: HttpCaller;
+  isHanging = false;
+  private readonly httpCaller: HttpClient;
 
   constructor(
     readonly machine: WorkerMachine,
     private readonly controllers: { member: string; address: string }[],
     private readonly timing: { reportS: number; leaseS: number; fetchS: number },
     private readonly clock: Clock,
-    network: Pick<SimNetwork, 'attach' | 'createCaller'>,
+    network: Pick<SimulatedNetwork, 'attach' | 'createCaller'>,
     private readonly rules: RuleChecker,
     private readonly random: () => number,
     /** Tasks that finished on any machine. Another attempt at one of them takes only 10 ms. */
@@ -102,9 +102,9 @@
   }
 
   private watchLease(): void {
-    this.clock.after(100, () => {
+    this.clock.setTimer(100, () => {
       if (!this.isAlive) return;
-      if (!this.hanging && this.clock.steadyMs() - this.leaseRenewedMs > this.timing.leaseS * 1000) {
+      if (!this.isHanging && this.clock.steadyMs() - this.leaseRenewedMs > this.timing.leaseS * 1000) {
         for (const task of this.tasks.values())
           if (task.phase === 'running') this.rules.tasksKilledByLeaseExpiry++;
         this.killTasks();
@@ -136,9 +136,9 @@
   }
 
   private scheduleReport(delayMs: number): void {
-    this.clock.after(delayMs, () => {
+    this.clock.setTimer(delayMs, () => {
       if (!this.isAlive) return;
-      if (this.hanging) return this.scheduleReport(200);
+      if (this.isHanging) return this.scheduleReport(200);
       void this.sendReport();
     });
   }
@@ -165,7 +165,7 @@
     if (!this.isAlive) return;
     if (response?.status === 200) {
       const body = JSON.parse(response.body) as { baton: number; orders: Command[] };
-      if (!this.hanging && body.baton >= this.token && session === this.session) {
+      if (!this.isHanging && body.baton >= this.token && session === this.session) {
         const isTokenRaised = body.baton > this.token;
         this.token = body.baton;
         this.leaseRenewedMs = sentMs;
@@ -189,7 +189,7 @@
   private async handleRequest(target: string, body: string | undefined): Promise<HttpResponse | undefined> {
     if (!this.isAlive) return undefined;
     // A hanging machine handles the requests that reached it once it runs again.
-    while (this.hanging) await new Promise<void>((resolve) => this.clock.after(100, resolve));
+    while (this.isHanging) await new Promise<void>((resolve) => this.clock.setTimer(100, resolve));
     // The machine may have been terminated in the meantime.
     if (!this.isAlive) return undefined;
     if (target === '/show') return { status: 200, body: JSON.stringify(this.buildReport()) };
@@ -222,14 +222,14 @@
           other !== task && other.phase !== 'exited' && other.uid === uid && other.index === task.index,
       );
       if (isDuplicate) this.exitTask(task, 'in_use');
-      else this.clock.after(this.timing.fetchS * 1000, () => this.startTask(key, task));
+      else this.clock.setTimer(this.timing.fetchS * 1000, () => this.startTask(key, task));
     }
   }
 
   private startTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'fetching') return;
-    if (this.hanging) {
-      this.clock.after(200, () => this.startTask(key, task));
+    if (this.isHanging) {
+      this.clock.setTimer(200, () => this.startTask(key, task));
       return;
     }
     task.phase = 'running';
@@ -241,15 +241,15 @@
     const { kind, runS } = this.rules.jobs.get(task.uid)!.job;
     if (kind === 'service') return;
     const hasFinishedBefore = this.finishedTasks.has(`${task.uid}/${task.index}`);
-    this.clock.after(hasFinishedBefore ? 10 : runS * 1000 * (0.8 + this.random() * 0.4), () =>
+    this.clock.setTimer(hasFinishedBefore ? 10 : runS * 1000 * (0.8 + this.random() * 0.4), () =>
       this.finishTask(key, task),
     );
   }
 
   private finishTask(key: string, task: Task): void {
     if (this.tasks.get(key) !== task || task.phase !== 'running') return;
-    if (this.hanging) {
-      this.clock.after(200, () => this.finishTask(key, task));
+    if (this.isHanging) {
+      this.clock.setTimer(200, () => this.finishTask(key, task));
       return;
     }
     this.finishedTasks.add(`${task.uid}/${task.index}`);
--- a/src/state/state-replica.ts
+++ b/src/state/state-replica.ts
@@ -2,13 +2,13 @@
 import type { Logger } from 'pino';
 import { sleep, type Clock } from '@pumicehinge/runtime';
 import {
-  LINEARIZABLE_READ_INTERVAL_MS,
-  LOAD_PAGE_KEYS,
-  STATE_RETRY_MS,
-  WATCH_INTERVAL_MS,
+  MIN_LINEARIZABLE_READ_INTERVAL_MS,
+  REPLICA_LOAD_PAGE_KEYS,
+  STATE_RETRY_DELAY_MS,
+  MIN_WATCH_INTERVAL_MS,
   WATCH_WAIT_MS,
 } from '../constants.js';
-import { AnswerTooLargeError } from '../http/message.js';
+import { ResponseTooLargeError } from '../http/message.js';
 import type { WireInt } from '../wire/json.js';
 import { KeyValueIndex } from './key-value-index.js';
 import type { KeyChange, KeyChanges, KeyValue } from './key-value.js';
@@ -92,18 +92,18 @@
         const requestedMs = this.clock.steadyMs();
         const changes = await this.client.watch(this.prefix, this.revision, WATCH_WAIT_MS);
         this.applyChanges(changes, requestedMs);
-        const pauseMs = requestedMs + WATCH_INTERVAL_MS - this.clock.steadyMs();
+        const pauseMs = requestedMs + MIN_WATCH_INTERVAL_MS - this.clock.steadyMs();
         if (pauseMs > 0) await sleep(this.clock, pauseMs);
       } catch (error) {
         this.onFailure(error);
-        await sleep(this.clock, STATE_RETRY_MS);
+        await sleep(this.clock, STATE_RETRY_DELAY_MS);
       }
     }
   }
 
   /**
    * Resolves once the replica holds everything that the state store held at the call. One read of the store serves all
-   * callers that wait for it. Rejects with a StoreError or a CallError if the store can't be read.
+   * callers that wait for it. Rejects with a StoreError or an HttpCallError if the store can't be read.
    */
   linearizableRead(): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -118,14 +118,14 @@
   }
 
   /** Merges a value that another controller has read or written. A newer value in the replica is kept. */
-  merge(keyValue: KeyValue): void {
+  mergeIfNewer(keyValue: KeyValue): void {
     this.apply(keyValue);
   }
 
   private async servePendingReads(): Promise<void> {
     this.isServingReads = true;
     while (this.pendingReads.length > 0) {
-      const pauseMs = this.lastReadMs + LINEARIZABLE_READ_INTERVAL_MS - this.clock.steadyMs();
+      const pauseMs = this.lastReadMs + MIN_LINEARIZABLE_READ_INTERVAL_MS - this.clock.steadyMs();
       if (pauseMs > 0) await sleep(this.clock, pauseMs);
       this.lastReadMs = this.clock.steadyMs();
       const servedReads = this.pendingReads;
@@ -147,7 +147,7 @@
     // The store keeps a bounded history of changes. Once this revision is compacted, all keys are loaded again. They
     // are also loaded again if there are more changes than fit into memory at once, as the pages of a listing are
     // small.
-    if (error instanceof CompactedRevisionError || error instanceof AnswerTooLargeError)
+    if (error instanceof CompactedRevisionError || error instanceof ResponseTooLargeError)
       this.areKeysLoaded = false;
     this.log.debug({ err: error }, 'state store read failed');
   }
@@ -158,12 +158,12 @@
     let firstRevision: WireInt | undefined;
     let lastKey: string | undefined;
     for (;;) {
-      const page = await this.client.listPage(this.prefix, lastKey, LOAD_PAGE_KEYS);
+      const page = await this.client.listPage(this.prefix, lastKey, REPLICA_LOAD_PAGE_KEYS);
       // Later pages are newer than the first, so a watch from the first page's revision misses no change.
       firstRevision ??= page.revision;
       for (const keyValue of page.keyValues) listedKeyValues.set(keyValue.key, keyValue);
       lastKey = page.keyValues.at(-1)?.key;
-      if (!page.more || lastKey === undefined) break;
+      if (!page.hasMore || lastKey === undefined) break;
     }
     this.applyListing(listedKeyValues, firstRevision);
     this.areKeysLoaded = true;
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -1,16 +1,16 @@
 /** The client of the state store, a consensus-backed key-value store with reads, transactions and leases over HTTP. */
 import { RateLimiter, sleep, type Clock } from '@pumicehinge/runtime';
 import {
-  FOLLOWER_BURST_S,
-  LEADER_REQUEST_SHARE,
-  LEADER_WRITE_SHARE,
+  FOLLOWER_WRITE_BURST_S,
+  LEADER_REQUEST_RATE_SHARE,
+  LEADER_WRITE_RATE_SHARE,
   STATE_CALL_TIMEOUT_MS,
-  STATE_FAILING_AFTER_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
   STATE_RATE_SHARE,
   WATCH_GRACE_MS,
   WATCH_WAIT_MS,
 } from '../constants.js';
-import { CallError, type HttpCaller, type HttpResponse } from '../http/message.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../http/message.js';
 import type { WireInt } from '../wire/json.js';
 import type { Condition, KeyChanges, KeyPage, Operation, TransactionResult } from './key-value.js';
 import {
@@ -35,16 +35,16 @@
 /** The limits of the state store, which all controllers share. */
 export interface StoreLimits {
   /** Requests per second. */
-  readonly rps: number;
+  readonly requestsPerSecond: number;
   /** Operations per second, summed over all transactions. */
-  readonly writesPerS: number;
+  readonly writesPerSecond: number;
   /** Limit of operations in one transaction. */
-  readonly txnOps: number;
+  readonly maxTransactionOperations: number;
 }
 
 /** Dependencies and settings of `StoreClient`. */
 export interface StoreClientOptions {
-  readonly caller: HttpCaller;
+  readonly caller: HttpClient;
   /** Host and port of the state store. */
   readonly address: string;
   readonly clock: Clock;
@@ -76,12 +76,12 @@
   /** Time of the steady clock since which no call has been served. Infinity while calls are served. */
   private failingSinceMs = Infinity;
 
-  /** Creates a client with the rate limits of a follower. `setLeading` changes them. */
+  /** Creates a client with the rate limits of a follower. `setIsLeader` changes them. */
   constructor(private readonly options: StoreClientOptions) {
     this.limits = options.limits;
     this.requestRateLimiter = new RateLimiter(options.clock, 0);
     this.writeRateLimiter = new RateLimiter(options.clock, 0);
-    this.setLeading(false);
+    this.setIsLeader(false);
   }
 
   /**
@@ -89,37 +89,37 @@
    * limit is reserved for the leader and the rest is split evenly. A new leader has no accumulated budget, so all
    * controllers together stay within the limits during a change of leader.
    */
-  setLeading(isLeading: boolean): void {
+  setIsLeader(isLeading: boolean): void {
     const { limits, controllerCount } = this.options;
     const share = (leaderShare: number): number =>
       STATE_RATE_SHARE * ((1 - leaderShare) / controllerCount + (isLeading ? leaderShare : 0));
-    this.requestRateLimiter.setRate(limits.rps * share(LEADER_REQUEST_SHARE));
+    this.requestRateLimiter.setRate(limits.requestsPerSecond * share(LEADER_REQUEST_RATE_SHARE));
     // A follower may write in bursts, because a user who submits a pipeline sends several jobs in a row to one
     // controller. The other followers write little meanwhile.
-    const burstS = isLeading ? 1 : FOLLOWER_BURST_S;
-    this.writeRateLimiter.setRate(limits.writesPerS * share(LEADER_WRITE_SHARE), burstS);
+    const burstS = isLeading ? 1 : FOLLOWER_WRITE_BURST_S;
+    this.writeRateLimiter.setRate(limits.writesPerSecond * share(LEADER_WRITE_RATE_SHARE), burstS);
   }
 
   /** Time of the steady clock at which the last served call ended. It is -Infinity before the first one. */
-  get lastServedMs(): number {
+  get lastServedCallMs(): number {
     return this.lastCallServedMs;
   }
 
   /** Whether the last call that ended was not served by the store. */
-  get isFailing(): boolean {
+  get lastCallFailed(): boolean {
     return this.failingSinceMs < Infinity;
   }
 
   /** Whether the store probably serves this controller. A single lost call does not count as a failure. */
-  get isServed(): boolean {
+  get isStoreAvailable(): boolean {
     const nowMs = this.options.clock.steadyMs();
-    if (nowMs - this.failingSinceMs > STATE_FAILING_AFTER_MS) return false;
-    return nowMs - this.lastCallServedMs < WATCH_WAIT_MS + WATCH_GRACE_MS + STATE_FAILING_AFTER_MS;
+    if (nowMs - this.failingSinceMs > STATE_UNAVAILABLE_AFTER_MS) return false;
+    return nowMs - this.lastCallServedMs < WATCH_WAIT_MS + WATCH_GRACE_MS + STATE_UNAVAILABLE_AFTER_MS;
   }
 
   /**
    * Lists at most `limit` keys with a prefix, sorted by key, starting after `afterKey`. Rejects with a StoreError if
-   * the store does not serve the call, and with a CallError if the store can't be reached.
+   * the store does not serve the call, and with an HttpCallError if the store can't be reached.
    */
   async listPage(prefix: string, afterKey: string | undefined, limit: number): Promise<KeyPage> {
     return decodePage(
@@ -153,7 +153,8 @@
         writeCount: operations.length,
       });
     } catch (error) {
-      if (error instanceof CallError && error.failure === 'unsent') return { outcome: 'refused', status: 0 };
+      if (error instanceof HttpCallError && error.failure === 'unsent')
+        return { outcome: 'refused', status: 0 };
       return { outcome: 'unclear' };
     }
     return decodeTransactionResult(response);
@@ -167,7 +168,7 @@
 
   /**
    * Renews a lease. Resolves to true if the lease is alive, and to false if it has expired. Rejects with a StoreError
-   * or a CallError if that is unknown.
+   * or an HttpCallError if that is unknown.
    */
   async keepAlive(leaseId: WireInt, timeoutMs: number): Promise<boolean> {
     const { status } = await this.request({
@@ -182,7 +183,7 @@
     throw storeErrorForStatus(status);
   }
 
-  /** Revokes a lease. The answer of the store is ignored. Rejects with a CallError if the store can't be reached. */
+  /** Revokes a lease. The answer of the store is ignored. Rejects with an HttpCallError if the store can't be reached. */
   async revokeLease(leaseId: WireInt): Promise<void> {
     await this.request({
       method: 'DELETE',
@@ -228,8 +229,8 @@
   /** Returns the time until a request with so many write operations is within the rate limits. */
   private rateLimitWaitMs(writeCount: number): number {
     return Math.max(
-      this.requestRateLimiter.waitMs(1),
-      writeCount > 0 ? this.writeRateLimiter.waitMs(writeCount) : 0,
+      this.requestRateLimiter.computeWaitMs(1),
+      writeCount > 0 ? this.writeRateLimiter.computeWaitMs(writeCount) : 0,
     );
   }
 
--- a/src/state/transaction-batcher.ts
+++ b/src/state/transaction-batcher.ts
@@ -1,7 +1,7 @@
 /** Group commit: combines the writes of a controller into as few transactions of the state store as possible. */
 import type { Logger } from 'pino';
 import { assertNever, sleep, type Clock } from '@pumicehinge/runtime';
-import { MAX_QUEUED_WRITES, STATE_RETRY_MS } from '../constants.js';
+import { MAX_QUEUED_WRITES, STATE_RETRY_DELAY_MS } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
 import type { Condition, Operation } from './key-value.js';
 import type { StateReplica } from './state-replica.js';
@@ -89,7 +89,7 @@
   /** Takes the writes of the next transaction off the queue. Writes past their deadline are refused. */
   private takeNextBatch(): readonly PendingWrite[] {
     const nowMs = this.clock.steadyMs();
-    const batch = new WriteBatch(this.client.limits.txnOps);
+    const batch = new WriteBatch(this.client.limits.maxTransactionOperations);
     const deferredWrites: PendingWrite[] = [];
     for (const write of this.queue) {
       if (write.deadlineMs <= nowMs) write.resolve({ outcome: 'refused' });
@@ -117,13 +117,13 @@
           // A write is malformed or names an expired lease, so a retry does not help. Sending each write alone
           // identifies the faulty one.
           if (batch.length > 1) for (const write of batch) await this.send([write]);
-          else for (const write of batch) write.resolve({ outcome: 'refused', malformed: true });
+          else for (const write of batch) write.resolve({ outcome: 'refused', isMalformed: true });
           return;
         }
         this.queue.unshift(...batch);
         // Users don't wait for the store during an outage. They are told when to retry instead.
         if (result.status !== 429) this.refuseUserWrites();
-        await sleep(this.clock, STATE_RETRY_MS);
+        await sleep(this.clock, STATE_RETRY_DELAY_MS);
         return;
       case 'unclear':
         for (const write of batch) write.resolve({ outcome: 'unclear' });
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -10,7 +10,7 @@
   TaskStatus,
   WorkerCommand,
 } from '../cluster/worker-messages.js';
-import { isObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
+import { isJsonObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
 
 const TASK_STATES: ReadonlyMap<string, TaskState> = new Map([
   ['fetching', 'fetching'],
@@ -29,19 +29,19 @@
 ]);
 
 function decodeTaskStatus(value: unknown): TaskStatus | undefined {
-  if (!isObject(value) || typeof value.piece !== 'string' || !isWireInt(value.try)) return undefined;
+  if (!isJsonObject(value) || typeof value.piece !== 'string' || !isWireInt(value.try)) return undefined;
   const slashIndex = value.piece.lastIndexOf('/');
-  const index = Number(value.piece.slice(slashIndex + 1));
-  if (slashIndex <= 0 || !Number.isSafeInteger(index) || index < 0) return undefined;
+  const taskIndex = Number(value.piece.slice(slashIndex + 1));
+  if (slashIndex <= 0 || !Number.isSafeInteger(taskIndex) || taskIndex < 0) return undefined;
   if (typeof value.phase !== 'string') return undefined;
   return {
-    job: value.piece.slice(0, slashIndex),
-    index,
-    attempt: value.try,
+    jobUid: value.piece.slice(0, slashIndex),
+    taskIndex,
+    attemptNumber: value.try,
     // An unknown state counts as that of a task which is on the node but does not run yet. If the whole heartbeat were
     // rejected instead, the worker's lease would expire, and every task of the node would end.
     state: TASK_STATES.get(value.phase) ?? 'fetching',
-    cause: typeof value.cause === 'string' ? (EXIT_CAUSES.get(value.cause) ?? 'unknown') : undefined,
+    exitCause: typeof value.cause === 'string' ? (EXIT_CAUSES.get(value.cause) ?? 'unknown') : undefined,
   };
 }
 
@@ -57,7 +57,7 @@
 
 /** Decodes the parsed body of a heartbeat. Undefined if a field is missing or has a wrong type. */
 export function decodeHeartbeat(value: unknown): Heartbeat | undefined {
-  if (!isObject(value) || !Array.isArray(value.pieces)) return undefined;
+  if (!isJsonObject(value) || !Array.isArray(value.pieces)) return undefined;
   const { hearth, address, build, yard, tenure, tick: sequence, baton } = value;
   if (typeof hearth !== 'string' || typeof address !== 'string') return undefined;
   if (typeof build !== 'string' || typeof yard !== 'string') return undefined;
@@ -65,7 +65,7 @@
   const tasks = decodeTasks(value.pieces);
   if (!tasks) return undefined;
   return {
-    node: hearth,
+    nodeName: hearth,
     address,
     type: build,
     zone: yard,
@@ -88,14 +88,14 @@
 }
 
 function encodeCommand(command: WorkerCommand): unknown {
-  const { task, attempt } = command;
+  const { taskName, attemptNumber } = command;
   switch (command.kind) {
     case 'start':
-      return { verb: 'run', piece: task, try: attempt };
+      return { verb: 'run', piece: taskName, try: attemptNumber };
     case 'stop':
-      return { verb: 'stop', piece: task, try: attempt, leewayS: command.gracePeriodS };
+      return { verb: 'stop', piece: taskName, try: attemptNumber, leewayS: command.gracePeriodS };
     case 'acknowledge':
-      return { verb: 'clear', piece: task, try: attempt };
+      return { verb: 'clear', piece: taskName, try: attemptNumber };
     default:
       return assertNever(command);
   }
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -5,13 +5,13 @@
 import type { Logger } from 'pino';
 import { assertNever } from '@pumicehinge/runtime';
 import {
-  attemptKey,
-  taskName,
+  formatAttemptKey,
+  formatTaskName,
   type Attempt,
   type ClusterState,
   type Node,
 } from '../cluster/cluster-state.js';
-import { needsCommands, pendingCommands, type PendingCommand } from '../cluster/pending-commands.js';
+import { needsCommands, generatePendingCommands, type PendingCommand } from '../cluster/pending-commands.js';
 import type { Heartbeat, WorkerCommand } from '../cluster/worker-messages.js';
 import {
   COMMAND_CALL_TIMEOUT_MS,
@@ -20,7 +20,7 @@
   STOP_RESEND_INTERVAL_MS,
 } from '../constants.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import { CallError, type CallFailure, type HttpCaller } from '../http/message.js';
+import { HttpCallError, type HttpCallFailure, type HttpClient } from '../http/message.js';
 import { formatJson, type WireInt } from '../wire/json.js';
 import { encodeCommands, parseHeartbeat } from './codec.js';
 
@@ -36,7 +36,7 @@
 /** How a direct call ended. Without a response, `failure` tells whether the commands may still be executed. */
 export type CommandCallOutcome =
   | { readonly kind: 'response'; readonly status: number; readonly body: string }
-  | { readonly kind: 'noResponse'; readonly failure: CallFailure };
+  | { readonly kind: 'noResponse'; readonly failure: HttpCallFailure };
 
 /** The result of a direct call with commands to a worker. */
 export interface CommandCallResult {
@@ -51,7 +51,7 @@
   readonly term: LeadershipTerm;
   readonly clusterState: ClusterState;
   /** Sends the direct calls to workers. */
-  readonly caller: HttpCaller;
+  readonly caller: HttpClient;
   readonly log: Logger;
   /** Whether a planned attempt may be started now. This is checked right before each start command. */
   readonly mayStart: (attempt: Attempt) => boolean;
@@ -88,10 +88,10 @@
    * Requests that the attempt stop, with `gracePeriodS` seconds to save a checkpoint. A request with a shorter grace
    * period overrides an earlier one. An attempt whose start was never sent is withdrawn at once.
    */
-  stop(attempt: Attempt, gracePeriodS: number): void {
+  requestStop(attempt: Attempt, gracePeriodS: number): void {
     if (attempt.state === 'exited') return;
     if (attempt.state === 'planned' && attempt.directStart === 'none') {
-      this.dependencies.clusterState.withdrawPlanned(attempt);
+      this.dependencies.clusterState.withdrawPlannedAttempt(attempt);
     } else if (!attempt.stopRequest || gracePeriodS < attempt.stopRequest.gracePeriodS) {
       attempt.requestStop(gracePeriodS);
       this.dependencies.clusterState.markAwaitingCommands(attempt.node);
@@ -100,7 +100,7 @@
   }
 
   /** Discards the state of an attempt that has ended. Nothing more is sent for it. */
-  forget(attempt: Attempt): void {
+  discardAttempt(attempt: Attempt): void {
     this.stopSentMs.delete(attempt);
   }
 
@@ -110,7 +110,7 @@
    */
   prepareCommandsForHeartbeat(node: Node, sequence: WireInt, nowMs: number): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
-    for (const { command, attempt } of pendingCommands(node, this.dependencies.mayStart)) {
+    for (const { command, attempt } of generatePendingCommands(node, this.dependencies.mayStart)) {
       if (commands.length >= MAX_COMMANDS_PER_RESPONSE) break;
       if (command.kind === 'start') this.markSent(attempt, sequence, nowMs);
       commands.push(command);
@@ -150,10 +150,10 @@
       } else if (
         attempt.job &&
         !attempt.job.isOpen &&
-        nowMs - attempt.sentMs >= LOST_START_FENCING_DELAY_MS
+        nowMs - attempt.startSentMs >= LOST_START_FENCING_DELAY_MS
       ) {
         this.dependencies.log.info(
-          { task: taskName(attempt) },
+          { task: formatTaskName(attempt) },
           'term ended to fence a lost task start of an ended job',
         );
         return true;
@@ -163,7 +163,7 @@
   }
 
   private sendToNode(node: Node, nowMs: number): void {
-    if (this.nodesBeingCalled.has(node) || !node.reconciled || node.address === '') return;
+    if (this.nodesBeingCalled.has(node) || !node.isReconciled || node.address === '') return;
     if (!this.dependencies.term.authority.isValid(nowMs)) return;
     if (!needsCommands(node)) {
       this.dependencies.clusterState.clearAwaitingCommands(node);
@@ -188,7 +188,7 @@
         deliverCallResult({ node, attemptsToStart, outcome });
       },
       (error: unknown) => {
-        const failure = error instanceof CallError ? error.failure : 'unclear';
+        const failure = error instanceof HttpCallError ? error.failure : 'unclear';
         deliverCallResult({ node, attemptsToStart, outcome: { kind: 'noResponse', failure } });
       },
     );
@@ -197,7 +197,7 @@
   private prepareDirectCall(node: Node, nowMs: number): DirectCall {
     const commands: WorkerCommand[] = [];
     const attemptsToStart: Attempt[] = [];
-    for (const pendingCommand of pendingCommands(node, this.dependencies.mayStart)) {
+    for (const pendingCommand of generatePendingCommands(node, this.dependencies.mayStart)) {
       if (commands.length >= MAX_COMMANDS_PER_RESPONSE) break;
       if (!this.prepareDirectCommand(pendingCommand, nowMs)) continue;
       commands.push(pendingCommand.command);
@@ -239,7 +239,10 @@
 
   private markSent(attempt: Attempt, sequence: WireInt, nowMs: number): void {
     attempt.markStartSent(sequence, nowMs);
-    this.dependencies.log.debug({ task: taskName(attempt), node: attempt.node.name }, 'task start sent');
+    this.dependencies.log.debug(
+      { task: formatTaskName(attempt), node: attempt.node.name },
+      'task start sent',
+    );
   }
 
   private endDirectStart(attempt: Attempt, executionStatus: ExecutionStatus): void {
@@ -264,6 +267,6 @@
 
 /** Whether the node still holds resources for the attempt. */
 function isAllocated(attempt: Attempt): boolean {
-  const { node, jobUid, index, number, state } = attempt;
-  return state !== 'exited' && node.attempts.get(attemptKey(jobUid, index, number)) === attempt;
+  const { node, jobUid, taskIndex, number, state } = attempt;
+  return state !== 'exited' && node.attempts.get(formatAttemptKey(jobUid, taskIndex, number)) === attempt;
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -8,7 +8,7 @@
 import { FIRST_CONTACT_WINDOW_MS } from '../constants.js';
 import type { CancellationWatermark } from '../election/cancellation-watermark.js';
 import type { LeadershipTerm } from '../election/leadership-term.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import type { StateReplica } from '../state/state-replica.js';
 import { formatJson } from '../wire/json.js';
 import { encodeCommands } from './codec.js';
@@ -18,7 +18,7 @@
 /** A heartbeat that reached the leader. */
 export interface ReceivedHeartbeat {
   readonly heartbeat: Heartbeat;
-  readonly respond: Respond;
+  readonly respond: ResponseCallback;
   /** Name of the controller that the worker sent the heartbeat to. */
   readonly relayedBy: string;
   /**
@@ -31,21 +31,21 @@
 /** Dependencies of HeartbeatHandler. */
 export interface HeartbeatHandlerDependencies {
   readonly term: LeadershipTerm;
-  readonly cancellationWatermark: Pick<CancellationWatermark, 'mayAnswer'>;
+  readonly cancellationWatermark: Pick<CancellationWatermark, 'mayAnswerHeartbeats'>;
   readonly clusterState: ClusterState;
   readonly heartbeatReconciler: HeartbeatReconciler;
   readonly replica: Pick<StateReplica, 'get'>;
   readonly nodeRecords: Pick<NodeRecords, 'markUsed'>;
-  readonly commands: Pick<CommandDispatcher, 'prepareCommandsForHeartbeat'>;
+  readonly commandDispatcher: Pick<CommandDispatcher, 'prepareCommandsForHeartbeat'>;
   /** The current steady time in milliseconds. */
   readonly nowMs: () => number;
   readonly log: Logger;
   /** The full resources of a node of this instance type. */
-  readonly capacityOf: (type: string) => Resources;
+  readonly getNodeCapacity: (type: string) => Resources;
   /** Whether a node of this name was deleted recently. */
-  readonly wasDeleted: (name: string) => boolean;
+  readonly wasRecentlyDeleted: (name: string) => boolean;
   /** Called once all attempts on the node are known. */
-  readonly markReconciled: (node: Node) => void;
+  readonly onReconciled: (node: Node) => void;
   /** Called if more tasks may fit than in the last scheduling cycle. */
   readonly requestSchedulingCycle: () => void;
 }
@@ -74,7 +74,7 @@
    */
   handle(received: ReceivedHeartbeat): void {
     const { heartbeat, respond, relayedBy } = received;
-    const knownNode = this.dependencies.clusterState.nodes.get(heartbeat.node);
+    const knownNode = this.dependencies.clusterState.nodes.get(heartbeat.nodeName);
     const freshness = this.classifyFreshness(heartbeat, knownNode);
     if (freshness === 'stale') return respond(NOT_ACCEPTED);
     knownNode?.recordRelay(relayedBy);
@@ -91,14 +91,14 @@
 
   private classifyFreshness(heartbeat: Heartbeat, knownNode: Node | undefined): HeartbeatFreshness {
     return classifyHeartbeat(heartbeat.fencingToken, this.dependencies.term.fencingToken, {
-      deleted: this.dependencies.wasDeleted(heartbeat.node),
-      reconciled: knownNode?.reconciled ?? false,
+      isDeleted: this.dependencies.wasRecentlyDeleted(heartbeat.nodeName),
+      isReconciled: knownNode?.isReconciled ?? false,
     });
   }
 
   private addNode({ heartbeat, relayedBy }: ReceivedHeartbeat): Node {
-    const { node: name, address, type, zone, spot } = heartbeat;
-    const capacity = this.dependencies.capacityOf(type);
+    const { nodeName: name, address, type, zone, spot } = heartbeat;
+    const capacity = this.dependencies.getNodeCapacity(type);
     const description = { name, address, type, zone, spot, capacity };
     const node = this.dependencies.clusterState.addNode(description, this.dependencies.nowMs());
     node.recordRelay(relayedBy);
@@ -115,7 +115,11 @@
       return respond(NOT_ACCEPTED);
     if (isFirstHeartbeat) this.recordFirstHeartbeat(node, nowMs);
     this.recordContact(node);
-    const commands = this.dependencies.commands.prepareCommandsForHeartbeat(node, heartbeat.sequence, nowMs);
+    const commands = this.dependencies.commandDispatcher.prepareCommandsForHeartbeat(
+      node,
+      heartbeat.sequence,
+      nowMs,
+    );
     if (!this.mayRespond()) return respond(NOT_ACCEPTED);
     this.respond(received, node, commands);
   }
@@ -135,7 +139,7 @@
       // the worker's tasks forever.
       if (nowMs - node.firstContactMs > FIRST_CONTACT_WINDOW_MS) return respond(NOT_ACCEPTED);
       node.recordAddress(heartbeat.address);
-      if (!node.persisted) nodeRecords.markUsed(node);
+      if (!node.isPersistedAsUsed) nodeRecords.markUsed(node);
       requestSchedulingCycle();
     }
     if (!this.mayRespond()) return respond(NOT_ACCEPTED);
@@ -150,14 +154,14 @@
 
   /** Records that all attempts on the node are known. The node may get further ones once its record is written. */
   private recordContact(node: Node): void {
-    if (!node.reconciled) {
+    if (!node.isReconciled) {
       node.markReconciled();
-      this.dependencies.markReconciled(node);
+      this.dependencies.onReconciled(node);
       this.dependencies.requestSchedulingCycle();
     }
     if (node.attempts.size > 0) node.markBusy();
     else if (node.idleSinceMs === Infinity) node.markIdle(this.dependencies.nowMs());
-    if (!node.persisted) this.dependencies.nodeRecords.markUsed(node);
+    if (!node.isPersistedAsUsed) this.dependencies.nodeRecords.markUsed(node);
   }
 
   /**
@@ -168,7 +172,7 @@
     const nowMs = this.dependencies.nowMs();
     return (
       this.dependencies.term.authority.isValid(nowMs) &&
-      this.dependencies.cancellationWatermark.mayAnswer(nowMs)
+      this.dependencies.cancellationWatermark.mayAnswerHeartbeats(nowMs)
     );
   }
 
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -4,10 +4,10 @@
 import {
   RELAY_ID_RANGE,
   RELAY_RESPONSE_VALIDITY_MS,
-  RELAY_RETRY_INTERVAL_MS,
+  RELAY_REVIEW_INTERVAL_MS,
   RELAY_TIMEOUT_MS,
 } from '../constants.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import { formatJson } from '../wire/json.js';
 import { encodeRedirect } from './codec.js';
@@ -20,21 +20,21 @@
   /** Returns a random number, uniformly distributed in [0, 1). */
   readonly random: () => number;
   /** Name of the leader, if it is reachable from this controller. */
-  readonly leader: () => string | undefined;
+  readonly getReachableLeader: () => string | undefined;
   /** Name of the leader, if its host refuses connections from this controller. Workers may still reach it. */
-  readonly refusingLeader: () => string | undefined;
+  readonly getRefusingLeader: () => string | undefined;
   /** Largest number of heartbeats that may wait for a response at the same time. */
   readonly maxPending: number;
   /**
    * Handles on this controller a heartbeat that the leader does not answer. Returns false if that is not possible now.
    */
-  readonly handleLocally: (body: string, respond: Respond) => boolean;
+  readonly handleLocally: (body: string, respond: ResponseCallback) => boolean;
 }
 
 /** A heartbeat that waits for the leader's response. */
 interface PendingHeartbeat {
   readonly body: string;
-  readonly respond: Respond;
+  readonly respond: ResponseCallback;
   /** Steady time in milliseconds at which the heartbeat was received. */
   readonly receivedMs: number;
   /** Name of the controller that the heartbeat was last forwarded to. Undefined if it was not forwarded yet. */
@@ -50,7 +50,7 @@
 }
 
 type Message =
-  | { readonly kind: 'heartbeat'; readonly body: string; readonly respond: Respond }
+  | { readonly kind: 'heartbeat'; readonly body: string; readonly respond: ResponseCallback }
   | ({ readonly kind: 'relayed' } & RelayedResponse)
   | { readonly kind: 'reviewPending' };
 
@@ -95,7 +95,7 @@
     }
   }
 
-  private onHeartbeat(body: string, respond: Respond): void {
+  private onHeartbeat(body: string, respond: ResponseCallback): void {
     // Each pending heartbeat holds a socket, and users need sockets too. A rejected worker tries another controller.
     if (this.pendingHeartbeats.size >= this.dependencies.maxPending) return respond(UNAVAILABLE);
     const receivedMs = this.dependencies.clock.steadyMs();
@@ -109,7 +109,7 @@
   private forward(heartbeat: PendingHeartbeat): void {
     const requestId = ++this.lastRequestId;
     this.pendingHeartbeats.set(requestId, heartbeat);
-    const leader = this.dependencies.leader();
+    const leader = this.dependencies.getReachableLeader();
     if (leader === undefined) return;
     // If the channel is full, the next review forwards the heartbeat.
     if (!this.dependencies.channel.send(leader, { kind: 'relay', id: requestId, body: heartbeat.body }))
@@ -129,8 +129,8 @@
 
   private reviewPending(): void {
     const nowMs = this.dependencies.clock.steadyMs();
-    const leader = this.dependencies.leader();
-    const refusingLeader = this.dependencies.refusingLeader();
+    const leader = this.dependencies.getReachableLeader();
+    const refusingLeader = this.dependencies.getRefusingLeader();
     for (const [requestId, heartbeat] of [...this.pendingHeartbeats]) {
       if (refusingLeader === undefined) this.reviewHeartbeat(requestId, heartbeat, leader, nowMs);
       else
@@ -173,6 +173,6 @@
   private scheduleReview(): void {
     if (this.isReviewScheduled || this.pendingHeartbeats.size === 0) return;
     this.isReviewScheduled = true;
-    this.dependencies.clock.after(RELAY_RETRY_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
+    this.dependencies.clock.setTimer(RELAY_REVIEW_INTERVAL_MS, () => this.send({ kind: 'reviewPending' }));
   }
 }
--- a/src/workers/heartbeat-router.ts
+++ b/src/workers/heartbeat-router.ts
@@ -6,7 +6,7 @@
 import type { Heartbeat } from '../cluster/worker-messages.js';
 import { RELAY_RESPONSE_VALIDITY_MS } from '../constants.js';
 import type { LeaderView } from '../election/leader-view.js';
-import type { Respond } from '../http/message.js';
+import type { ResponseCallback } from '../http/message.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import { parseHeartbeat } from './codec.js';
@@ -35,14 +35,14 @@
   readonly self: { readonly member: string; readonly zone: string };
   readonly leaderView: Pick<
     LeaderView,
-    'heartbeatTargets' | 'isLeaderInfoFresh' | 'knownLeader' | 'isElecting'
+    'listHeartbeatTargets' | 'isLeaderInfoFresh' | 'getKnownLeader' | 'isLeaderless'
   >;
   readonly peers: PeerTransport;
   readonly clock: Clock;
   /** The leader actor of this process. Undefined unless this controller leads and is ready. */
-  readonly leader: () => HeartbeatReceiver | undefined;
+  readonly getLeaderActor: () => HeartbeatReceiver | undefined;
   /** Redirects workers from the leader to relays. Undefined unless this controller leads. */
-  readonly redirector: () => RelayRedirector | undefined;
+  readonly getRedirector: () => RelayRedirector | undefined;
   readonly leaseRenewalProxy: Pick<LeaseRenewalProxy, 'shouldRenewLeases' | 'send'>;
   readonly relay: Pick<HeartbeatRelay, 'send'>;
 }
@@ -62,7 +62,7 @@
    * Routes a worker's heartbeat. `body` is its encoded form. A heartbeat that is accepted is answered through
    * `respond`.
    */
-  route(heartbeat: Heartbeat, body: string, respond: Respond): HeartbeatRoute {
+  route(heartbeat: Heartbeat, body: string, respond: ResponseCallback): HeartbeatRoute {
     const betterTarget = this.findBetterTarget(heartbeat);
     if (betterTarget !== undefined) return { kind: 'redirected', member: betterTarget };
     const receiver = this.findLocalReceiver();
@@ -71,7 +71,7 @@
       return ACCEPTED;
     }
     const leader = this.findTrustedLeader();
-    if (leader === undefined && !this.dependencies.leaderView.isElecting) return UNAVAILABLE;
+    if (leader === undefined && !this.dependencies.leaderView.isLeaderless) return UNAVAILABLE;
     if (leader !== undefined && this.dependencies.peers.refusesConnections(leader))
       return { kind: 'redirected', member: leader };
     // The relay also holds heartbeats for a moment while there is no leader or the leader is not ready yet. Each
@@ -81,7 +81,7 @@
   }
 
   /** Handles a heartbeat of the relay in this process if it leads or renews leases. Returns false if it can't. */
-  handleLocally(body: string, respond: Respond): boolean {
+  handleLocally(body: string, respond: ResponseCallback): boolean {
     const receiver = this.findLocalReceiver();
     const heartbeat = receiver && parseHeartbeat(body);
     if (!heartbeat) return false;
@@ -90,7 +90,7 @@
   }
 
   /** Name of the leader, if it is alive but refuses connections from this controller. Workers may still reach it. */
-  refusingLeader(): string | undefined {
+  findRefusingLeader(): string | undefined {
     const leader = this.findTrustedLeader();
     return leader !== undefined && this.dependencies.peers.refusesConnections(leader) ? leader : undefined;
   }
@@ -98,7 +98,7 @@
   /** Name of the known leader. Undefined if that information may be stale. */
   private findTrustedLeader(): string | undefined {
     const { leaderView } = this.dependencies;
-    return leaderView.isLeaderInfoFresh ? leaderView.knownLeader() : undefined;
+    return leaderView.isLeaderInfoFresh ? leaderView.getKnownLeader() : undefined;
   }
 
   /**
@@ -106,11 +106,11 @@
    * Undefined if neither can.
    */
   private findLocalReceiver(): HeartbeatReceiver | undefined {
-    const { leader, leaseRenewalProxy } = this.dependencies;
-    return leader() ?? (leaseRenewalProxy.shouldRenewLeases() ? leaseRenewalProxy : undefined);
+    const { getLeaderActor, leaseRenewalProxy } = this.dependencies;
+    return getLeaderActor() ?? (leaseRenewalProxy.shouldRenewLeases() ? leaseRenewalProxy : undefined);
   }
 
-  private deliver(receiver: HeartbeatReceiver, heartbeat: Heartbeat, respond: Respond): void {
+  private deliver(receiver: HeartbeatReceiver, heartbeat: Heartbeat, respond: ResponseCallback): void {
     const relayedBy = this.dependencies.self.member;
     receiver.send({ kind: 'heartbeat', heartbeat, respond, relayedBy, maxRelayDelayMs: 0 });
   }
@@ -121,27 +121,27 @@
    * zone a relay is better than a busy leader. Successive heartbeats get different controllers, because the worker
    * may be unable to reach the one that was named before.
    */
-  private findBetterTarget({ zone, node, sequence }: Heartbeat): string | undefined {
-    const { leaderView, self, redirector, clock } = this.dependencies;
-    const targets = leaderView.heartbeatTargets(zone);
+  private findBetterTarget({ zone, nodeName, sequence }: Heartbeat): string | undefined {
+    const { leaderView, self, getRedirector, clock } = this.dependencies;
+    const targets = leaderView.listHeartbeatTargets(zone);
     const shouldRedirect =
-      zone !== self.zone || redirector()?.tryRedirect(node, targets.length, clock.steadyMs()) === true;
+      zone !== self.zone || getRedirector()?.tryRedirect(nodeName, targets.length, clock.steadyMs()) === true;
     if (!shouldRedirect || targets.length === 0) return undefined;
-    return targets[(hashName(node) + Number(sequence)) % targets.length];
+    return targets[(hashName(nodeName) + Number(sequence)) % targets.length];
   }
 
   private handleRelayedHeartbeat(
     member: string,
     { id, body }: Extract<PeerMessage, { kind: 'relay' }>,
   ): void {
-    const respond: Respond = (response) =>
+    const respond: ResponseCallback = (response) =>
       this.dependencies.peers.send(member, {
         kind: 'relayed',
         id,
         status: response.status,
         body: response.body,
       });
-    const leader = this.dependencies.leader();
+    const leader = this.dependencies.getLeaderActor();
     const heartbeat = leader && parseHeartbeat(body);
     if (!heartbeat) return respond({ status: 503, body: '{}' });
     leader.send({
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -3,13 +3,13 @@
 import { Actor, assertNever, type Clock } from '@pumicehinge/runtime';
 import type { Heartbeat } from '../cluster/worker-messages.js';
 import {
-  DELEGATED_LEASES_PER_WRITE,
+  MAX_DELEGATED_LEASES_PER_KEY,
   LEASE_PROXY_ACTIVATION_MS,
   LEASE_PROXY_CHECK_INTERVAL_MS,
   LEASE_PROXY_READ_VALIDITY_MS,
   MAX_NODE_NAME_BYTES,
 } from '../constants.js';
-import type { HttpResponse, Respond } from '../http/message.js';
+import type { HttpResponse, ResponseCallback } from '../http/message.js';
 import {
   decodeLeader,
   delegatedLeasesKey,
@@ -31,7 +31,7 @@
   /** Name of this controller. */
   readonly member: string;
   /** Largest size of a value in the state store, in bytes. */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   readonly replica: Pick<StateReplica, 'get' | 'listPrefix' | 'linearizableRead'>;
   readonly batcher: Pick<TransactionBatcher, 'commit'>;
   readonly clock: Clock;
@@ -41,13 +41,13 @@
    */
   readonly refusesConnections: (member: string) => boolean;
   /** Steady time in milliseconds of the last message from the member. */
-  readonly lastContactMs: (member: string) => number;
+  readonly getLastContactMs: (member: string) => number;
 }
 
 /** A heartbeat that waits for its response. */
 interface PendingHeartbeat {
   readonly heartbeat: Heartbeat;
-  readonly respond: Respond;
+  readonly respond: ResponseCallback;
 }
 
 /** A heartbeat whose response may rely on what the state store held at the steady time `readMs`, in milliseconds. */
@@ -105,7 +105,7 @@
   start(): void {
     const check = (): void => {
       this.send({ kind: 'check' });
-      this.dependencies.clock.after(LEASE_PROXY_CHECK_INTERVAL_MS, check);
+      this.dependencies.clock.setTimer(LEASE_PROXY_CHECK_INTERVAL_MS, check);
     };
     check();
   }
@@ -125,7 +125,7 @@
     }
     // A new leader has had no time yet to send a message. After a restart of this process the same holds for a leader
     // that has led for longer.
-    const lastContactMs = Math.max(this.dependencies.lastContactMs(leader.member), this.leaderFirstSeenMs);
+    const lastContactMs = Math.max(this.dependencies.getLastContactMs(leader.member), this.leaderFirstSeenMs);
     return this.dependencies.clock.steadyMs() - lastContactMs > LEASE_PROXY_ACTIVATION_MS;
   }
 
@@ -163,7 +163,7 @@
     const { heartbeat, respond } = verified;
     const leader = this.knownLeader();
     if (!leader || !this.mayRenewLease(heartbeat, leader)) return respond(NOT_ENTITLED_RESPONSE);
-    if (this.delegatedTerms.get(heartbeat.node) === leader.term) return this.renewLease(verified);
+    if (this.delegatedTerms.get(heartbeat.nodeName) === leader.term) return this.renewLease(verified);
     this.awaitingDelegation.push({ heartbeat, respond });
     this.writeDelegation();
   }
@@ -171,7 +171,9 @@
   /** Whether the worker's lease may be renewed. A node that no leader has recorded has no task that needs a lease. */
   private mayRenewLease(heartbeat: Heartbeat, leader: KnownLeader): boolean {
     return (
-      this.shouldRenewLeases() && heartbeat.fencingToken <= leader.term && this.isNodeRecorded(heartbeat.node)
+      this.shouldRenewLeases() &&
+      heartbeat.fencingToken <= leader.term &&
+      this.isNodeRecorded(heartbeat.nodeName)
     );
   }
 
@@ -201,10 +203,10 @@
   }
 
   private takeBatch(): PendingHeartbeat[] {
-    const maxNodesPerValue = Math.floor(this.dependencies.valueBytes / MAX_NODE_NAME_BYTES) - 1;
+    const maxNodesPerValue = Math.floor(this.dependencies.maxValueBytes / MAX_NODE_NAME_BYTES) - 1;
     return this.awaitingDelegation.splice(
       0,
-      Math.max(1, Math.min(DELEGATED_LEASES_PER_WRITE, maxNodesPerValue)),
+      Math.max(1, Math.min(MAX_DELEGATED_LEASES_PER_KEY, maxNodesPerValue)),
     );
   }
 
@@ -214,13 +216,13 @@
   ): Promise<CommitResult> {
     const { replica, batcher, member, log } = this.dependencies;
     const key = delegatedLeasesKey(member, `${term}-${++this.batchCount}`);
-    const nodes = batch.map(({ heartbeat }) => heartbeat.node);
+    const nodes = batch.map(({ heartbeat }) => heartbeat.nodeName);
     log.info({ nodes, term }, 'lease delegation during partition started');
     const conditions = [
       { key: LEADER_KEY, modRevision: revision },
       { key, modRevision: replica.get(key)?.modRevision ?? 0 },
     ];
-    const operations = [{ key, value: encodeDelegatedLeases({ term, nodes }) }];
+    const operations = [{ key, value: encodeDelegatedLeases({ term, nodeNames: nodes }) }];
     return batcher.commit(conditions, operations, LEASE_PROXY_READ_VALIDITY_MS);
   }
 
@@ -228,7 +230,7 @@
     this.isWritingDelegation = false;
     for (const pending of batch) {
       if (isCommitted) {
-        this.delegatedTerms.set(pending.heartbeat.node, term);
+        this.delegatedTerms.set(pending.heartbeat.nodeName, term);
         // The write may have taken a long time, so the response relies on a new read of the state store.
         this.readStateFor(pending);
       } else {
@@ -239,7 +241,7 @@
   }
 
   private renewLease({ heartbeat, respond, readMs }: VerifiedHeartbeat): void {
-    const term = this.delegatedTerms.get(heartbeat.node);
+    const term = this.delegatedTerms.get(heartbeat.nodeName);
     // The tasks of a cancelled job must end in time even if the leader can't reach them.
     const commands = createStopCommandsForEndedJobs(heartbeat, this.dependencies.replica);
     // This is checked last, because what was read from the state store is valid only for a moment.
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -3,11 +3,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { MAX_TASKS } from '../src/constants.js';
+import { MAX_TASKS_PER_JOB } from '../src/constants.js';
 import { decodeSubmission, MalformedSubmissionError } from '../src/api/codec.js';
 import { loadSettings, SettingsError } from '../src/settings.js';
 import {
-  completionSegmentCount,
+  countCompletionSegments,
   decodeCompletionSegment,
   decodeJob,
   decodeInstanceTypes,
@@ -15,7 +15,7 @@
   encodeJob,
 } from '../src/state/records.js';
 import { CompletionBitmap } from '../src/state/completion-bitmap.js';
-import { jobSpec, SETTINGS } from './fixtures.js';
+import { createJobSpec, PLATFORM_SETTINGS } from './fixtures.js';
 
 const VALID_SUBMISSION = {
   uid: 'job-000412',
@@ -59,7 +59,7 @@
     { ...VALID_SUBMISSION, rank: 'toString' },
     { ...VALID_SUBMISSION, pieces: 0 },
     { ...VALID_SUBMISSION, pieces: 1.5 },
-    { ...VALID_SUBMISSION, pieces: MAX_TASKS + 1 },
+    { ...VALID_SUBMISSION, pieces: MAX_TASKS_PER_JOB + 1 },
     { ...VALID_SUBMISSION, cpus: -1 },
     { ...VALID_SUBMISSION, cpus: '8' },
     { ...VALID_SUBMISSION, builds: [] },
@@ -94,18 +94,18 @@
 });
 
 test('the finished tasks of the largest job fit into values of the state store', () => {
-  const bitmap = new CompletionBitmap(MAX_TASKS);
-  for (let task = 0; task < MAX_TASKS; task += 1 + (task % 3)) bitmap.add(task);
-  const decodedBitmap = new CompletionBitmap(MAX_TASKS);
-  for (let segment = 0; segment < completionSegmentCount(MAX_TASKS); segment++) {
+  const bitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
+  for (let task = 0; task < MAX_TASKS_PER_JOB; task += 1 + (task % 3)) bitmap.add(task);
+  const decodedBitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
+  for (let segment = 0; segment < countCompletionSegments(MAX_TASKS_PER_JOB); segment++) {
     const text = encodeCompletionSegment(bitmap, segment);
     assert.ok(text.length < 4096);
     decodeCompletionSegment(decodedBitmap, segment, text);
   }
   assert.equal(decodedBitmap.completedCount, bitmap.completedCount);
-  for (const task of [0, 1, 2, 8191, 8192, MAX_TASKS - 1])
+  for (const task of [0, 1, 2, 8191, 8192, MAX_TASKS_PER_JOB - 1])
     assert.equal(decodedBitmap.has(task), bitmap.has(task));
-  assert.equal(bitmap.add(MAX_TASKS), false);
+  assert.equal(bitmap.add(MAX_TASKS_PER_JOB), false);
 });
 
 test('settings: files are read with defaults, and each mistake is reported in one line', () => {
@@ -118,15 +118,15 @@
     writeFileSync(operatorFile, operator);
     return loadSettings(platformFile, operatorFile);
   };
-  const settings = loadSettingsFrom(SETTINGS, '{"idleKeepS": 7}');
+  const settings = loadSettingsFrom(PLATFORM_SETTINGS, '{"idleKeepS": 7}');
   assert.deepEqual(settings.peers, [{ member: 'b', zone: 'z', address: '127.0.0.1:82' }]);
   assert.equal(settings.teams[0]!.acceleratorLimit, 0);
   assert.equal(settings.operator.idleKeepS, 7);
   assert.equal(settings.operator.useSpot, true);
   // An announced limit applies at once if it is lower than the current limit.
-  const announced = `${SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
-  const { state } = loadSettingsFrom(announced);
-  assert.deepEqual(state, { ...settings.state, writesPerS: 7, valueBytes: 2048 });
+  const announced = `${PLATFORM_SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
+  const { stateLimits } = loadSettingsFrom(announced);
+  assert.deepEqual(stateLimits, { ...settings.stateLimits, writesPerSecond: 7, valueBytes: 2048 });
   for (const invalidLimit of [
     'txn_ops = 0',
     'txn_ops = 2.5',
@@ -135,19 +135,19 @@
     'rps = "many"',
   ])
     assert.throws(
-      () => loadSettingsFrom(`${SETTINGS}\n[deployment.state.next]\n${invalidLimit}\n`),
+      () => loadSettingsFrom(`${PLATFORM_SETTINGS}\n[deployment.state.next]\n${invalidLimit}\n`),
       (error) =>
         error instanceof SettingsError && /next/.test(error.message) && !error.message.includes('\n'),
       invalidLimit,
     );
   const invalidFiles: [text: string, operator: string | undefined, message: RegExp][] = [
     ['member = ', undefined, /s\.toml: /],
-    [SETTINGS.replace('member = "a"', ''), undefined, /member/],
-    [SETTINGS.replace('127.0.0.1:80', 'nowhere'), undefined, /public_addr/],
-    [SETTINGS.replace('lease_s = 14.0', 'lease_s = "x"'), undefined, /lease_s must be number/],
-    [SETTINGS, '{"idleKeepS": -1}', /idleKeepS/],
-    [SETTINGS, '{"other": 1}', /additional/],
-    [SETTINGS, '{', /o\.json/],
+    [PLATFORM_SETTINGS.replace('member = "a"', ''), undefined, /member/],
+    [PLATFORM_SETTINGS.replace('127.0.0.1:80', 'nowhere'), undefined, /public_addr/],
+    [PLATFORM_SETTINGS.replace('lease_s = 14.0', 'lease_s = "x"'), undefined, /lease_s must be number/],
+    [PLATFORM_SETTINGS, '{"idleKeepS": -1}', /idleKeepS/],
+    [PLATFORM_SETTINGS, '{"other": 1}', /additional/],
+    [PLATFORM_SETTINGS, '{', /o\.json/],
   ];
   for (const [text, operator, message] of invalidFiles)
     assert.throws(
@@ -162,12 +162,12 @@
 test('malformed or truncated stored values are rejected', () => {
   const record = {
     phase: 'open' as const,
-    tasks: 4,
-    spec: jobSpec(),
+    taskCount: 4,
+    spec: createJobSpec(),
     acceptedMs: 5,
     memberStates: 'NN',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
   const job = encodeJob(record) as Record<string, unknown>;
   assert.deepEqual(decodeJob(job), record);
--- a/test/duties/interleavings.test.ts
+++ b/test/duties/interleavings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { StaleSummary } from '../../src/simulation/duty-log.js';
+import type { StaleActionSummary } from '../../src/simulation/role-action-log.js';
 import { ModelCluster, PROMPT_DELIVERY, type DeliveryPolicy } from './model-cluster.js';
 
 const MEMBERS = ['c0', 'c1', 'c2', 'c3'];
@@ -106,14 +106,14 @@
     case 'crash':
       return cluster.crash(member, Math.min(durationMs, 3_000));
     case 'state service partition':
-      state.refused.add(member);
-      return void clock.after(durationMs, () => state.refused.delete(member));
+      state.refusedCallers.add(member);
+      return void clock.setTimer(durationMs, () => state.refusedCallers.delete(member));
     case 'cloud partition':
       cluster.partitionedFromCloud.add(member);
-      return void clock.after(durationMs * 2, () => cluster.partitionedFromCloud.delete(member));
+      return void clock.setTimer(durationMs * 2, () => cluster.partitionedFromCloud.delete(member));
     case 'outage':
-      state.refused.add('*');
-      return void clock.after(durationMs / 2, () => state.endOutage());
+      state.refusedCallers.add('*');
+      return void clock.setTimer(durationMs / 2, () => state.endOutage());
     case 'new leader':
       return void cluster.elect(member);
     case 'clock jump':
@@ -121,9 +121,9 @@
       return;
     case 'capacity':
       cloud.capacity = Math.abs(amount) % 6;
-      return void clock.after(durationMs, () => (cloud.capacity = Infinity));
+      return void clock.setTimer(durationMs, () => (cloud.capacity = Infinity));
     case 'resign':
-      for (const { role } of cluster.requireRoles(member).heldRoles())
+      for (const { role } of cluster.requireRoles(member).listHeldRoles())
         cluster.requireRoles(member).resign(role, 'test');
   }
 }
@@ -131,7 +131,7 @@
 interface ScenarioOutcome {
   violations: string[];
   unfinished: string[];
-  staleSummary: StaleSummary;
+  staleSummary: StaleActionSummary;
 }
 
 async function runScenario(
@@ -142,14 +142,14 @@
   const cluster = new ModelCluster(MEMBERS, random, createDeliveryPolicy(random, disturbedShare));
   cluster.isFencingEnabled = isFencingEnabled;
   const { clock } = cluster;
-  clock.after(300, () => void cluster.elect('c0'));
+  clock.setTimer(300, () => void cluster.elect('c0'));
   const changeTargetNodes = (): void => {
     cluster.targetNodes =
       clock.steadyMs() < FAULT_PHASE_MS ? 1 + Math.floor(random() * 8) : TARGET_NODES_AT_END;
-    clock.after(TARGET_CHANGE_INTERVAL_MS, changeTargetNodes);
+    clock.setTimer(TARGET_CHANGE_INTERVAL_MS, changeTargetNodes);
   };
   changeTargetNodes();
-  for (const fault of faults) clock.after(fault.atMs, () => injectFault(cluster, fault));
+  for (const fault of faults) clock.setTimer(fault.atMs, () => injectFault(cluster, fault));
   await clock.runUntil(FAULT_PHASE_MS + 15_000);
   cluster.deliveryPolicy = PROMPT_DELIVERY;
   cluster.state.endOutage();
@@ -159,7 +159,7 @@
   return {
     violations: cluster.listViolations(),
     unfinished: cluster.listUnfinished(),
-    staleSummary: cluster.log.stale(),
+    staleSummary: cluster.log.summarizeStaleActions(),
   };
 }
 
@@ -171,8 +171,8 @@
       const outcome = await runScenario(scenario);
       assert.deepEqual(outcome.violations, []);
       assert.deepEqual(outcome.unfinished, []);
-      lateCallsWithoutEffect += outcome.staleSummary.withoutEffect;
-      lateCallsAsCommitted += outcome.staleSummary.asRecorded;
+      lateCallsWithoutEffect += outcome.staleSummary.ineffectiveCallCount;
+      lateCallsAsCommitted += outcome.staleSummary.committedEffectCount;
     }),
     // Shrinking would take minutes, so the failing scenario is printed as it is.
     { numRuns: RUN_COUNT, seed: SEED, endOnFailure: true },
--- a/test/duties/model-cluster.ts
+++ b/test/duties/model-cluster.ts
@@ -6,12 +6,12 @@
 import { HttpCloudProvider } from '../../src/duties/http-cloud-provider.js';
 import { ControllerRoleStore } from '../../src/duties/controller-role-store.js';
 import { readCurrentLeader } from '../../src/duties/current-leader.js';
-import { CallError, type HttpCaller, type HttpResponse } from '../../src/http/message.js';
-import { SimCloud } from '../../src/simulation/cloud.js';
-import { DutyLog, withoutFences } from '../../src/simulation/duty-log.js';
-import type { SimHandler } from '../../src/simulation/network.js';
-import { SimStateService } from '../../src/simulation/state-service.js';
-import type { SimWorker } from '../../src/simulation/workers.js';
+import { HttpCallError, type HttpClient, type HttpResponse } from '../../src/http/message.js';
+import { SimulatedCloud } from '../../src/simulation/cloud.js';
+import { RoleActionLog, removeFencingConditions } from '../../src/simulation/role-action-log.js';
+import type { SimulatedHandler } from '../../src/simulation/network.js';
+import { SimulatedStateService } from '../../src/simulation/state-service.js';
+import type { SimulatedWorker } from '../../src/simulation/simulated-worker.js';
 import { StoreClient } from '../../src/state/store-client.js';
 import { StateReplica } from '../../src/state/state-replica.js';
 import { encodeLeader, LEADER_KEY, ROOT_PREFIX } from '../../src/state/records.js';
@@ -19,7 +19,7 @@
 import { ModelLeader } from './model-leader.js';
 import { ModelProcess } from './model-process.js';
 
-const LIMITS = { rps: 1_000, writesPerS: 1_000, txnOps: 12 };
+const LIMITS = { requestsPerSecond: 1_000, writesPerSecond: 1_000, maxTransactionOperations: 12 };
 const silentLogger = pino({ level: 'silent' });
 
 /** The delivery of one message: the delays of the request and of its answer, and whether the answer is lost. */
@@ -50,9 +50,9 @@
  */
 export class ModelCluster {
   readonly clock = new SimulatedClock();
-  readonly state: SimStateService;
-  readonly cloud: SimCloud;
-  readonly log: DutyLog;
+  readonly state: SimulatedStateService;
+  readonly cloud: SimulatedCloud;
+  readonly log: RoleActionLog;
   /** Members whose requests don't reach the cloud. */
   readonly partitionedFromCloud = new Set<string>();
   /** Names of nodes that were terminated while the leader of that time considered them usable. */
@@ -63,7 +63,7 @@
   targetNodes = 4;
   /** Called whenever a process reads the current leader. It may throw to simulate a bug in the program. */
   onLeaderRead: (member: string) => void = () => undefined;
-  private readonly handlers = new Map<string, SimHandler>();
+  private readonly handlers = new Map<string, SimulatedHandler>();
   private readonly controllers = new Map<string, ModelController>();
   private electedLeader: { leader: ModelLeader; term: number } | undefined;
 
@@ -72,15 +72,20 @@
     private readonly random: () => number,
     public deliveryPolicy: DeliveryPolicy,
   ) {
-    this.state = new SimStateService(this.clock, random);
+    this.state = new SimulatedStateService(this.clock, random);
     const types = [{ sku: 'm4', cpus: 4, memGb: 16, bootS: 1, price: 1 }];
-    const noWorker = { kill: () => undefined } as unknown as SimWorker;
-    this.cloud = new SimCloud(this.clock, types, ['east'], Infinity, () => noWorker);
-    this.log = new DutyLog(this.state, this.cloud, () => this.clock.steadyMs());
+    const noWorker = { kill: () => undefined } as unknown as SimulatedWorker;
+    this.cloud = new SimulatedCloud(this.clock, types, ['east'], Infinity, () => noWorker);
+    this.log = new RoleActionLog(this.state, this.cloud, () => this.clock.steadyMs());
     this.handlers.set(
       'state:1',
       this.log.wrap('state', (from, method, target, body) =>
-        this.state.handle(from, method, target, this.isFencingEnabled || !body ? body : withoutFences(body)),
+        this.state.handle(
+          from,
+          method,
+          target,
+          this.isFencingEnabled || !body ? body : removeFencingConditions(body),
+        ),
       ),
     );
     this.handlers.set(
@@ -93,7 +98,7 @@
   startProcess(member: string): void {
     const process = new ModelProcess(this.clock);
     const clock = process.visibleClock;
-    const caller: HttpCaller = {
+    const caller: HttpClient = {
       call: (...request) => this.call(member, process, request),
     };
     const client = new StoreClient({
@@ -103,7 +108,7 @@
       limits: LIMITS,
       controllerCount: 1,
     });
-    client.setLeading(true);
+    client.setIsLeader(true);
     const replica = new StateReplica(client, ROOT_PREFIX, clock, silentLogger);
     const roles = new LeasedRoles({
       member,
@@ -117,8 +122,8 @@
         this.onLeaderRead(member);
         return readCurrentLeader(replica);
       },
-      obsoleteRecords: () => [],
-      maxTransactionOperations: LIMITS.txnOps,
+      findObsoleteRecords: () => [],
+      maxTransactionOperations: LIMITS.maxTransactionOperations,
       cloudRequestsPerSecond: { rent: 4, return: 4, reclaim: 4 },
       ...{ clock, random: this.random, log: silentLogger },
     });
@@ -143,14 +148,14 @@
 
   listIntents(): Intent[] {
     return this.state
-      .keys(INTENT_KEY_PREFIX)
-      .map((key) => decodeIntent(key, this.state.peek(key)))
+      .listKeys(INTENT_KEY_PREFIX)
+      .map((key) => decodeIntent(key, this.state.getValue(key)))
       .filter((intent) => intent !== undefined);
   }
 
   /** Returns the revision of a key. */
   readModRevision(key: string): number {
-    return this.state.stampOf(key);
+    return this.state.getRevision(key);
   }
 
   /** Writes a key without any condition, which no controller does. */
@@ -162,20 +167,26 @@
   crash(member: string, restartDelayMs: number): void {
     if (!this.requireProcess(member).clock.isAlive) return;
     this.requireProcess(member).clock.kill();
-    this.clock.after(restartDelayMs, () => this.startProcess(member));
+    this.clock.setTimer(restartDelayMs, () => this.startProcess(member));
   }
 
   pause(member: string, durationMs: number): void {
     const process = this.requireProcess(member);
     process.pause();
-    this.clock.after(durationMs, () => process.resume());
+    this.clock.setTimer(durationMs, () => process.resume());
   }
 
   /** Makes a controller the leader of a new term. */
   async elect(member: string, { delegates = true } = {}): Promise<void> {
     const { process, replica, roles } = this.requireController(member);
     const term = this.term + 1;
-    if (!(await this.writeUnconditionally(LEADER_KEY, encodeLeader({ member, term, delegates })))) return;
+    if (
+      !(await this.writeUnconditionally(
+        LEADER_KEY,
+        encodeLeader({ member, term, delegatesCloudCalls: delegates }),
+      ))
+    )
+      return;
     this.electedLeader = undefined;
     if (!delegates) return;
     for (let hasReadOwnRecord = false; !hasReadOwnRecord;)
@@ -184,13 +195,13 @@
         hasReadOwnRecord =
           Number((replica.get(LEADER_KEY)?.value as { term: number } | undefined)?.term) >= term;
       } catch {
-        await new Promise<void>((resolve) => process.clock.after(300, resolve));
+        await new Promise<void>((resolve) => process.clock.setTimer(300, resolve));
       }
     if (this.term !== term || !process.clock.isAlive) return;
     const stored = replica.get(LEADER_KEY);
     assert.ok(stored, 'there is no leader');
     const modRevision = Number(stored.modRevision);
-    const nodeNames = this.cloud.hosts.keys();
+    const nodeNames = this.cloud.machines.keys();
     const readTargetNodes = (): number => this.targetNodes;
     const { clock } = process;
     this.electedLeader = {
@@ -207,24 +218,24 @@
   }
 
   get term(): number {
-    return (this.state.peek(LEADER_KEY) as { term: number } | undefined)?.term ?? 0;
+    return (this.state.getValue(LEADER_KEY) as { term: number } | undefined)?.term ?? 0;
   }
 
   /** Lists the broken rules. They are detected in the simulated services, independently of the code under test. */
   listViolations(): string[] {
     const uncoveredActions = this.log.actions.filter(
-      ({ result, isCovered }) => result === 'effect' && !isCovered,
+      ({ result, hasCommittedIntent }) => result === 'effect' && !hasCommittedIntent,
     );
     return [
       ...this.log
-        .stale()
-        .accepted.map(
-          ({ sender, duty, subject }) => `accepted from replaced holder ${sender}: ${duty} ${subject}`,
+        .summarizeStaleActions()
+        .acceptedActions.map(
+          ({ sender, role, subject }) => `accepted from replaced holder ${sender}: ${role} ${subject}`,
         ),
       ...uncoveredActions.map(
-        ({ sender, duty, subject }) => `took effect without commitment: ${sender} ${duty} ${subject}`,
+        ({ sender, role, subject }) => `took effect without commitment: ${sender} ${role} ${subject}`,
       ),
-      ...this.log.faults,
+      ...this.log.violations,
       ...this.terminatedWhileUsable.map(
         (name) => `${name} was terminated while the leader considered it usable`,
       ),
@@ -235,23 +246,23 @@
   listUnfinished(): string[] {
     const isOpen = ({ state, id }: Intent): boolean =>
       state === 'committed' || (state === 'requested' && id.term === this.term);
-    const areNodesMissing = this.cloud.hosts.size < this.targetNodes;
+    const areNodesMissing = this.cloud.machines.size < this.targetNodes;
     return [
-      ...ROLES.filter((role) => this.log.holderOf(role) === undefined).map((role) => `nobody holds ${role}`),
+      ...ROLES.filter((role) => this.log.getHolder(role) === undefined).map((role) => `nobody holds ${role}`),
       ...this.listIntents()
         .filter(isOpen)
         .map(({ role, id }) => `${role} intent ${id.term}-${id.sequence} is still open`),
-      ...(areNodesMissing ? [`only ${this.cloud.hosts.size} of ${this.targetNodes} nodes exist`] : []),
+      ...(areNodesMissing ? [`only ${this.cloud.machines.size} of ${this.targetNodes} nodes exist`] : []),
     ];
   }
 
   private async recordTerminations(execute: () => Promise<HttpResponse>): Promise<HttpResponse> {
-    const namesBefore = [...this.cloud.hosts.keys()];
+    const namesBefore = [...this.cloud.machines.keys()];
     const response = await execute();
     const { electedLeader } = this;
     for (const name of namesBefore)
       if (
-        !this.cloud.hosts.has(name) &&
+        !this.cloud.machines.has(name) &&
         electedLeader?.term === this.term &&
         electedLeader.leader.usableNodes.has(name)
       )
@@ -263,15 +274,15 @@
   private call(
     member: string,
     process: ModelProcess,
-    [address, method, target, body, timeoutMs]: Parameters<HttpCaller['call']>,
+    [address, method, target, body, timeoutMs]: Parameters<HttpClient['call']>,
   ): Promise<HttpResponse> {
     const { requestDelayMs, responseDelayMs, isResponseLost } = this.deliveryPolicy();
     return new Promise((resolve, reject) => {
       const runInProcessAfter = (ms: number, run: () => void): void =>
-        void this.clock.after(ms, () => process.run(run));
-      runInProcessAfter(timeoutMs, () => reject(new CallError('unclear', 'no answer')));
+        void this.clock.setTimer(ms, () => process.run(run));
+      runInProcessAfter(timeoutMs, () => reject(new HttpCallError('unclear', 'no answer')));
       if (address === 'cloud:1' && this.partitionedFromCloud.has(member)) return;
-      this.clock.after(requestDelayMs, () => {
+      this.clock.setTimer(requestDelayMs, () => {
         void this.handlers.get(address)!(member, method, target, body).then((response) => {
           if (response && !isResponseLost) runInProcessAfter(responseDelayMs, () => resolve(response));
         });
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import {
-  LEASE_VOTE_REQUEST_MS,
+  LEASE_VOTE_REQUEST_INTERVAL_MS,
   LEADER_LEASE_TTL_MS,
-  STATE_PROBE_TIMEOUT_MS,
-  STATE_FAILING_AFTER_MS,
+  STATE_STORE_PROBE_TIMEOUT_MS,
+  STATE_UNAVAILABLE_AFTER_MS,
 } from '../../src/constants.js';
 import { Election } from '../../src/election/election.js';
 import type { LeadershipTerm } from '../../src/election/leadership-term.js';
@@ -24,10 +24,10 @@
 /** A state store that grants leases and applies every transaction, but fails each lease renewal. */
 function createStoreClient() {
   return {
-    isFailing: false,
-    lastServedMs: 0,
-    isServed: true,
-    setLeading: () => undefined,
+    lastCallFailed: false,
+    lastServedCallMs: 0,
+    isStoreAvailable: true,
+    setIsLeader: () => undefined,
     grantLease: () => Promise.resolve(1),
     compareAndSwap: () => Promise.resolve({ outcome: 'applied', revision: 5 }),
     keepAlive: () => Promise.reject(new Error('not served')),
@@ -56,15 +56,15 @@
     onChange: (listener: (change: KeyChange) => void) => listeners.push(listener),
     applyOwnWrite: () => undefined,
     syncedRevision: 4,
-    merge: (keyValue: KeyValue) => {
+    mergeIfNewer: (keyValue: KeyValue) => {
       merged.push(keyValue);
       for (const listener of listeners) listener(keyValue);
     },
     linearizableRead: () => {
       if (probe === 'unanswered') return new Promise(() => undefined);
-      storeClient.isFailing = probe === 'refused';
-      if (storeClient.isFailing) return Promise.reject(new Error('refused'));
-      storeClient.lastServedMs = clock.steadyMs();
+      storeClient.lastCallFailed = probe === 'refused';
+      if (storeClient.lastCallFailed) return Promise.reject(new Error('refused'));
+      storeClient.lastServedCallMs = clock.steadyMs();
       return Promise.resolve();
     },
   };
@@ -121,10 +121,12 @@
   for (const [probe, expectedVotes] of cases) {
     const { clock, sent, receive } = createFixture('c1', probe);
     // Nothing has changed in the state store for a while, so the watch has received no response.
-    await clock.runUntil(STATE_FAILING_AFTER_MS * 2);
+    await clock.runUntil(STATE_UNAVAILABLE_AFTER_MS * 2);
     for (let round = 1; round <= expectedVotes.length; round++) {
       receive({ kind: 'leaseVoteRequest', round, term: 6 });
-      await clock.runUntil(clock.steadyMs() + Math.max(LEASE_VOTE_REQUEST_MS, STATE_PROBE_TIMEOUT_MS + 1));
+      await clock.runUntil(
+        clock.steadyMs() + Math.max(LEASE_VOTE_REQUEST_INTERVAL_MS, STATE_STORE_PROBE_TIMEOUT_MS + 1),
+      );
     }
     const votes = sent.flatMap((message) => (message.kind === 'leaseVote' ? [message.isGranted] : []));
     assert.deepEqual(votes, expectedVotes, probe);
@@ -141,7 +143,7 @@
     election.start();
     while (!term()) await clock.runUntil(clock.steadyMs() + 50);
     const startMs = clock.steadyMs();
-    storeClient.isFailing = true;
+    storeClient.lastCallFailed = true;
     // Each request is answered immediately, the last one shortly before the lease would have expired.
     let answeredCount = 0;
     while (clock.steadyMs() < startMs + LEADER_LEASE_TTL_MS - 400) {
@@ -165,11 +167,11 @@
   key: jobKey(uid),
   value: encodeJob({
     phase: 'cancelled',
-    tasks: 1,
+    taskCount: 1,
     acceptedMs: 0,
     memberStates: 'N',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   }),
   modRevision,
 });
@@ -199,15 +201,15 @@
   for (const [name, prepare, request, expectedJobs] of cases) {
     const fixture = createFixture('c1', 'refused');
     for (const revision of [10, 12, 13]) {
-      fixture.replica.merge(createCancelledJob(`job-${revision}`, revision));
+      fixture.replica.mergeIfNewer(createCancelledJob(`job-${revision}`, revision));
     }
     prepare(fixture);
-    await fixture.clock.runUntil(STATE_FAILING_AFTER_MS * 2);
-    fixture.storeClient.isFailing = true;
+    await fixture.clock.runUntil(STATE_UNAVAILABLE_AFTER_MS * 2);
+    fixture.storeClient.lastCallFailed = true;
     fixture.receive({ kind: 'leaseVoteRequest', round: 1, term: 6, ...request });
     const vote = fixture.sent.find((m) => m.kind === 'leaseVote');
     assert.ok(vote?.isGranted, name);
-    const sent = fixture.sent.flatMap((m) => (m.kind === 'cancellations' ? m.jobs : []));
+    const sent = fixture.sent.flatMap((m) => (m.kind === 'cancellations' ? m.cancelledJobs : []));
     assert.equal(vote.transfer && sent.length, expectedJobs, name);
     if (expectedJobs) assert.deepEqual(sent.at(-1), createCancelledJob('job-13', 13));
     // In the next round, the leader reads on from its offset.
@@ -275,7 +277,7 @@
     const fixture = createFixture(undefined);
     fixture.election.start();
     while (!fixture.term()) await fixture.clock.runUntil(fixture.clock.steadyMs() + 50);
-    fixture.storeClient.isFailing = true;
+    fixture.storeClient.lastCallFailed = true;
     const { fencingToken } = fixture.term()!;
     let request: PeerMessage | undefined;
     while (!(request = fixture.sent.find((m) => m.kind === 'leaseVoteRequest')))
@@ -286,12 +288,17 @@
     const transfer =
       messageCount === undefined ? undefined : { messageCount, endOffset: { logId: 1, sequence: 1 } };
     const term = fencingToken;
-    const messages: PeerMessage[] = jobBatches.map((jobs) => ({ kind: 'cancellations', round, term, jobs }));
+    const messages: PeerMessage[] = jobBatches.map((jobs) => ({
+      kind: 'cancellations',
+      round,
+      term,
+      cancelledJobs: jobs,
+    }));
     const vote: PeerMessage = { kind: 'leaseVote', round, term, isGranted: true, transfer };
     for (const message of arrivesFirst === 'batches' ? [...messages, vote] : [vote, ...messages])
       fixture.receive(message);
     assert.equal(fixture.merged.length, mergedCount, name);
-    assert.equal(fixture.watermark.mayAnswer(fixture.clock.steadyMs()), isAdvanced, name);
+    assert.equal(fixture.watermark.mayAnswerHeartbeats(fixture.clock.steadyMs()), isAdvanced, name);
     assert.ok(fixture.term()!.authority.isValid(fixture.clock.steadyMs()), name);
   }
 });
--- a/test/golden/cloud-calls.test.ts
+++ b/test/golden/cloud-calls.test.ts
@@ -4,14 +4,14 @@
 import { pino } from 'pino';
 import type { InstanceOffering, LaunchRequest, LaunchResult } from '@pumicehinge/duties';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
-import { CloudClient, leaderCloudRates, type CloudEvent } from '../../src/autoscaler/cloud-client.js';
+import { CloudClient, computeLeaderCloudRates, type CloudEvent } from '../../src/autoscaler/cloud-client.js';
 import {
   decodeCatalog,
-  decodeInstanceList,
-  decodeLaunched,
+  decodeInstancePage,
+  decodeLaunchedNames,
   encodeLaunch,
   encodeTermination,
-  offeringKey,
+  formatOfferingKey,
   type CloudInstance,
   type InstanceType,
 } from '../../src/autoscaler/cloud-codec.js';
@@ -28,15 +28,18 @@
 const INSTANCE_NAMES = ['vm-000039', 'vm-000040'];
 
 test('request bodies and offering keys are encoded', () => {
-  forms.check('rent: spot', formatJson(encodeLaunch({ name: 'r-12-1', offering: SPOT_OFFERING, count: 2 })));
+  forms.check(
+    'rent: spot',
+    formatJson(encodeLaunch({ requestName: 'r-12-1', offering: SPOT_OFFERING, nodeCount: 2 })),
+  );
   forms.check(
     'rent: ordinary',
-    formatJson(encodeLaunch({ name: 'r-12-2', offering: ON_DEMAND_OFFERING, count: 1 })),
+    formatJson(encodeLaunch({ requestName: 'r-12-2', offering: ON_DEMAND_OFFERING, nodeCount: 1 })),
   );
   forms.check('return: two', formatJson(encodeTermination(INSTANCE_NAMES)));
   forms.check('return: none', formatJson(encodeTermination([])));
-  forms.check('offer: spot', offeringKey(SPOT_OFFERING));
-  forms.check('offer: ordinary', offeringKey(ON_DEMAND_OFFERING));
+  forms.check('offer: spot', formatOfferingKey(SPOT_OFFERING));
+  forms.check('offer: ordinary', formatOfferingKey(ON_DEMAND_OFFERING));
 });
 
 const CATALOG_BODY =
@@ -102,12 +105,12 @@
 
 test('response bodies of the cloud are decoded', () => {
   assert.deepEqual(decodeCatalog(CATALOG_BODY), INSTANCE_TYPES);
-  assert.deepEqual(decodeInstanceList(INSTANCE_LIST_BODY), { instances: LISTED_INSTANCES, more: true });
-  assert.deepEqual(decodeInstanceList('{}'), { instances: [], more: false });
-  assert.deepEqual(decodeLaunched('{"hearths":["vm-1","vm-2"],"later":1}'), ['vm-1', 'vm-2']);
-  assert.deepEqual(decodeLaunched('{}'), []);
+  assert.deepEqual(decodeInstancePage(INSTANCE_LIST_BODY), { instances: LISTED_INSTANCES, hasMore: true });
+  assert.deepEqual(decodeInstancePage('{}'), { instances: [], hasMore: false });
+  assert.deepEqual(decodeLaunchedNames('{"hearths":["vm-1","vm-2"],"later":1}'), ['vm-1', 'vm-2']);
+  assert.deepEqual(decodeLaunchedNames('{}'), []);
   for (const text of ['', '[]', '7', '{'])
-    for (const decode of [decodeCatalog, decodeInstanceList, decodeLaunched])
+    for (const decode of [decodeCatalog, decodeInstancePage, decodeLaunchedNames])
       assert.throws(() => decode(text), Error, text);
   assert.throws(() => decodeCatalog('{}'));
 });
@@ -128,19 +131,19 @@
   const cloud = new CloudClient({
     caller,
     address: 'cloud:1',
-    rates: leaderCloudRates(6, false),
+    rates: computeLeaderCloudRates(6, false),
     clock,
     onEvent: (event) => events.push(event),
     mayCall: () => true,
     log: pino({ level: 'silent' }),
     onFailure: (error) => assert.fail(String(error)),
   });
-  const spotRequest = { name: 'r-12-1', offering: SPOT_OFFERING, count: 2 };
+  const spotRequest = { requestName: 'r-12-1', offering: SPOT_OFFERING, nodeCount: 2 };
   cloud.send({ kind: 'launch', request: spotRequest });
   cloud.send({ kind: 'terminate', names: INSTANCE_NAMES });
   await clock.runUntil(3_000);
   RESPONSES['POST /hosts'] = { status: 503, body: '{"error":"no capacity"}' };
-  const onDemandRequest = { name: 'r-12-2', offering: ON_DEMAND_OFFERING, count: 1 };
+  const onDemandRequest = { requestName: 'r-12-2', offering: ON_DEMAND_OFFERING, nodeCount: 1 };
   cloud.send({ kind: 'launch', request: onDemandRequest });
   await clock.runUntil(3_500);
   cloud.stop();
@@ -148,7 +151,7 @@
   distinctCalls.forEach((call, index) => forms.check(`call of a leader ${index + 1}`, call));
   const findEvent = (kind: CloudEvent['kind']): CloudEvent | undefined =>
     events.find((event) => event.kind === kind);
-  assert.deepEqual(findEvent('catalog'), { kind: 'catalog', types: INSTANCE_TYPES });
+  assert.deepEqual(findEvent('catalog'), { kind: 'catalog', instanceTypes: INSTANCE_TYPES });
   const listedEvent = events.find((event) => event.kind === 'listed');
   assert.deepEqual(listedEvent?.instances, LISTED_INSTANCES);
   assert.deepEqual(findEvent('launched'), { kind: 'launched', request: spotRequest, names: INSTANCE_NAMES });
@@ -160,7 +163,7 @@
   });
 });
 
-const LAUNCH_REQUEST: LaunchRequest = { name: 'r-12-1', offering: SPOT_OFFERING, count: 2 };
+const LAUNCH_REQUEST: LaunchRequest = { requestName: 'r-12-1', offering: SPOT_OFFERING, nodeCount: 2 };
 
 /** Responses to a launch request, and the result that the holder of the launch role derives from each. */
 const LAUNCH_CASES: [name: string, response: HttpResponse | undefined, result: LaunchResult][] = [
@@ -196,8 +199,8 @@
     { status: 400, body: '{"error":"no such build"}' },
     { kind: 'refused', reason: 'trouble' },
   ],
-  ['rate limit exceeded', { status: 429, body: '{}' }, { kind: 'unknown', answered: true }],
-  ['no response', undefined, { kind: 'unknown', answered: false }],
+  ['rate limit exceeded', { status: 429, body: '{}' }, { kind: 'unknown', isAnswered: true }],
+  ['no response', undefined, { kind: 'unknown', isAnswered: false }],
 ];
 
 test('the holder of a role: its requests, and the result of each response', async () => {
@@ -209,8 +212,8 @@
   }
   for (const [status, result] of [
     [200, { kind: 'terminated' }],
-    [503, { kind: 'unknown', answered: true }],
-    [undefined, { kind: 'unknown', answered: false }],
+    [503, { kind: 'unknown', isAnswered: true }],
+    [undefined, { kind: 'unknown', isAnswered: false }],
   ] as const) {
     const caller = new RecordingCaller(() => (status === undefined ? undefined : { status, body: '{}' }));
     assert.deepEqual(await new HttpCloudProvider(caller, 'cloud:1').terminate(INSTANCE_NAMES), result);
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { InstanceType } from '../../src/autoscaler/cloud-codec.js';
-import { COMPLETION_SEGMENT_TASKS } from '../../src/constants.js';
+import { TASKS_PER_COMPLETION_SEGMENT } from '../../src/constants.js';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import { SpotInterruptionRate } from '../../src/autoscaler/spot-interruption-rate.js';
 import * as records from '../../src/state/records.js';
 import { CompletionBitmap } from '../../src/state/completion-bitmap.js';
 import { formatJson, parseJson } from '../../src/wire/json.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { readForms } from './golden-forms.js';
 import { encodeRawFrameHex, encodeFrameHex, decodeFramesHex } from './peer-frame-hex.js';
 
@@ -30,15 +30,15 @@
 
 const OPEN_JOB: records.JobRecord = {
   phase: 'open',
-  tasks: 4,
-  spec: jobSpec(),
+  taskCount: 4,
+  spec: createJobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'NN',
-  successor: false,
-  completed: '',
+  isSuccessorRunning: false,
+  firstCompletionSegment: '',
 };
 
-const SERVICE_SPEC = jobSpec({
+const SERVICE_SPEC = createJobSpec({
   uid: 'job-312747',
   jobClass: 'league-tables',
   team: 'quizmaster-tools',
@@ -65,20 +65,25 @@
 
 const JOBS: Record<string, records.JobRecord> = {
   'open array': OPEN_JOB,
-  'open service': { ...OPEN_JOB, tasks: 3, spec: SERVICE_SPEC },
-  'some tasks finished': { ...OPEN_JOB, memberStates: 'EN', completed: 'Bw==' },
-  'successor runs': { ...OPEN_JOB, memberStates: 'FE', successor: true },
+  'open service': { ...OPEN_JOB, taskCount: 3, spec: SERVICE_SPEC },
+  'some tasks finished': { ...OPEN_JOB, memberStates: 'EN', firstCompletionSegment: 'Bw==' },
+  'successor runs': { ...OPEN_JOB, memberStates: 'FE', isSuccessorRunning: true },
   done: { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'SN' },
-  'done, description still there': { ...OPEN_JOB, phase: 'done', memberStates: 'S', completed: 'Dw==' },
+  'done, description still there': {
+    ...OPEN_JOB,
+    phase: 'done',
+    memberStates: 'S',
+    firstCompletionSegment: 'Dw==',
+  },
   cancelled: { ...JOB_WITHOUT_SPEC, phase: 'cancelled', memberStates: 'FE' },
   'cancelled, description still there': {
     ...OPEN_JOB,
     phase: 'cancelled',
     memberStates: 'E',
-    completed: 'AQ==',
+    firstCompletionSegment: 'AQ==',
   },
   ...Object.fromEntries(
-    records.RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }]),
+    records.RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: createJobSpec({ rank }) }]),
   ),
 };
 
@@ -110,14 +115,14 @@
   });
 
 test('production, delegated leases', () => {
-  const delegatedLeases: records.DelegatedLeasesRecord = { term: 12, nodes: ['vm-000039', 'vm-000040'] };
+  const delegatedLeases: records.DelegatedLeasesRecord = { term: 12, nodeNames: ['vm-000039', 'vm-000040'] };
   const text = getStoredText('delegated leases');
   assert.deepEqual(records.decodeDelegatedLeases(parseJson(text)), delegatedLeases);
   assert.equal(formatJson(records.encodeDelegatedLeases(delegatedLeases)), text);
 });
 
 test('production, leader', () => {
-  const leader: records.LeaderRecord = { member: 'c0', term: 1, delegates: false };
+  const leader: records.LeaderRecord = { member: 'c0', term: 1, delegatesCloudCalls: false };
   const text = getStoredText('leader');
   assert.deepEqual(records.decodeLeader(parseJson(text)), leader);
   assert.equal(formatJson(records.encodeLeader(leader)), text);
@@ -152,8 +157,8 @@
 });
 
 test('production, completed tasks of a large array', () => {
-  const tasks = COMPLETION_SEGMENT_TASKS * 2 + 9;
-  const finished = [0, 9, COMPLETION_SEGMENT_TASKS + 17, COMPLETION_SEGMENT_TASKS * 2 + 8];
+  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
+  const finished = [0, 9, TASKS_PER_COMPLETION_SEGMENT + 17, TASKS_PER_COMPLETION_SEGMENT * 2 + 8];
   const decodedTasks = new CompletionBitmap(tasks);
   const completedTasks = new CompletionBitmap(tasks);
   for (const task of finished) completedTasks.add(task);
@@ -199,7 +204,7 @@
     kind: 'cancellations',
     round: 2,
     term: 12,
-    jobs: [
+    cancelledJobs: [
       {
         key: records.jobKey('job-000001'),
         value: records.encodeJob(JOBS['cancelled, description still there']!),
--- a/test/golden/stored-jobs.test.ts
+++ b/test/golden/stored-jobs.test.ts
@@ -1,7 +1,7 @@
 /** Golden forms of stored jobs, their completed tasks and their dependency lists. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { COMPLETION_SEGMENT_TASKS } from '../../src/constants.js';
+import { TASKS_PER_COMPLETION_SEGMENT } from '../../src/constants.js';
 import {
   decodeCompletionSegment,
   decodeJob,
@@ -11,31 +11,31 @@
   isCancelledJob,
   maxJobBytes,
   RANKS,
-  splitByBytes,
+  splitByEncodedSize,
   decodeJobDependencies,
   type JobRecord,
 } from '../../src/state/records.js';
 import { CompletionBitmap } from '../../src/state/completion-bitmap.js';
 import { formatJson, parseJson } from '../../src/wire/json.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 import { GoldenForms, testRoundTrips } from './golden-forms.js';
 
 const forms = new GoldenForms('stored-jobs');
 
 const OPEN_JOB: JobRecord = {
   phase: 'open',
-  tasks: 4,
-  spec: jobSpec(),
+  taskCount: 4,
+  spec: createJobSpec(),
   acceptedMs: 1_790_000_002_622,
   memberStates: 'N',
-  successor: false,
-  completed: '',
+  isSuccessorRunning: false,
+  firstCompletionSegment: '',
 };
 
 /** A job whose description was removed after it ended. */
 const JOB_WITHOUT_SPEC: JobRecord = { ...OPEN_JOB, spec: undefined };
 
-const FULL_SPEC = jobSpec({
+const FULL_SPEC = createJobSpec({
   uid: 'job-312747',
   jobClass: 'league-tables',
   team: 'quizmaster-tools',
@@ -60,16 +60,16 @@
 
 const JOBS: Record<string, JobRecord> = {
   'open array': OPEN_JOB,
-  'open service with every field': { ...OPEN_JOB, tasks: 3, spec: FULL_SPEC, memberStates: 'NN' },
+  'open service with every field': { ...OPEN_JOB, taskCount: 3, spec: FULL_SPEC, memberStates: 'NN' },
   'preferred member runs': { ...OPEN_JOB, memberStates: 'EN' },
   'preferred member failed': { ...OPEN_JOB, memberStates: 'FE' },
-  'successor runs': { ...OPEN_JOB, memberStates: 'E', successor: true },
-  'some tasks finished': { ...OPEN_JOB, memberStates: 'E', completed: 'Bw==' },
-  'one dependency': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000007'] }) },
-  'two dependencies': { ...OPEN_JOB, spec: jobSpec({ dependencies: ['job-000008', 'job-000007'] }) },
+  'successor runs': { ...OPEN_JOB, memberStates: 'E', isSuccessorRunning: true },
+  'some tasks finished': { ...OPEN_JOB, memberStates: 'E', firstCompletionSegment: 'Bw==' },
+  'one dependency': { ...OPEN_JOB, spec: createJobSpec({ dependencies: ['job-000007'] }) },
+  'two dependencies': { ...OPEN_JOB, spec: createJobSpec({ dependencies: ['job-000008', 'job-000007'] }) },
   'dependencies in keys of their own': {
     ...OPEN_JOB,
-    spec: jobSpec({ dependencyList: { id: '1z4k9', parts: 3 } }),
+    spec: createJobSpec({ dependencyList: { id: '1z4k9', parts: 3 } }),
   },
   done: { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'S', finishedMs: 1_790_000_102_623 },
   'done, as a former version wrote it': { ...JOB_WITHOUT_SPEC, phase: 'done', memberStates: 'SN' },
@@ -77,7 +77,7 @@
     ...OPEN_JOB,
     phase: 'done',
     memberStates: 'S',
-    completed: 'Dw==',
+    firstCompletionSegment: 'Dw==',
     finishedMs: 1_790_000_102_623,
   },
   cancelled: { ...JOB_WITHOUT_SPEC, phase: 'cancelled', memberStates: 'F' },
@@ -85,9 +85,11 @@
     ...OPEN_JOB,
     phase: 'cancelled',
     memberStates: 'E',
-    completed: 'AQ==',
+    firstCompletionSegment: 'AQ==',
   },
-  ...Object.fromEntries(RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: jobSpec({ rank }) }])),
+  ...Object.fromEntries(
+    RANKS.map((rank) => [`rank ${rank}`, { ...OPEN_JOB, spec: createJobSpec({ rank }) }]),
+  ),
 };
 
 const encodeRecord = (record: JobRecord): string => formatJson(encodeJob(record));
@@ -151,14 +153,14 @@
 });
 
 test('completed tasks: each segment of a large array', () => {
-  const tasks = COMPLETION_SEGMENT_TASKS * 2 + 9;
+  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
   const finished = [
     0,
     1,
     9,
-    COMPLETION_SEGMENT_TASKS - 1,
-    COMPLETION_SEGMENT_TASKS + 17,
-    COMPLETION_SEGMENT_TASKS * 2 + 8,
+    TASKS_PER_COMPLETION_SEGMENT - 1,
+    TASKS_PER_COMPLETION_SEGMENT + 17,
+    TASKS_PER_COMPLETION_SEGMENT * 2 + 8,
   ];
   const completedTasks = new CompletionBitmap(tasks);
   for (const task of finished) completedTasks.add(task);
@@ -175,9 +177,9 @@
 
 test('a dependency list that is too long for one value is split', () => {
   const uids = ['job-000001', 'job-000002', 'job-000003', 'job-4', 'job-0000000005'];
-  const parts = splitByBytes(uids, 40);
+  const parts = splitByEncodedSize(uids, 40);
   parts.forEach((part, index) => forms.check(`dependency list, part ${index}`, formatJson(part)));
-  const spec = jobSpec({ dependencyList: { id: 'a1', parts: parts.length } });
+  const spec = createJobSpec({ dependencyList: { id: 'a1', parts: parts.length } });
   const storedParts = parts.map((_, index) => parseJson(forms.getText(`dependency list, part ${index}`)));
   const getStoredPart = (key: string): unknown => storedParts[Number(key.split('-').at(-1))];
   assert.deepEqual(readDependencies(spec, getStoredPart), uids);
--- a/test/former.ts
+++ b/test/production-version.ts
@@ -1,4 +1,4 @@
-import { isObject } from '../src/wire/json.js';
+import { isJsonObject } from '../src/wire/json.js';
 
 /**
  * How the version in production (deploy/service.toml) writes and reads the data that it shares with this version. It
@@ -8,7 +8,7 @@
  */
 
 /** Values that the version in production wrote into the state service. */
-export const STORED = {
+export const STORED_VALUES = {
   open:
     '{"p":"o","n":4,"t":1790000002622,"x":"EN","u":0,"d":"Bw==","s":{"uid":"job-312747","cohort":"league-tables",' +
     '"team":"quizmaster-tools","kind":"array","rank":"standard","tasks":4,"cpus":4,"accelerators":0,"memGb":8.8,' +
@@ -38,19 +38,24 @@
 
 /** Decodes a job's value as the version in production does. */
 export function decodeJobAsProduction(value: unknown): Record<string, unknown> | undefined {
-  if (!isObject(value)) return undefined;
+  if (!isJsonObject(value)) return undefined;
   const phase = { o: 'open', d: 'done', c: 'cancelled' }[String(value.p)];
-  const { n: tasks, t: acceptedMs, x: tuple, s: storedSpec } = value;
-  if (!phase || !Number.isSafeInteger(tasks) || (tasks as number) <= 0 || typeof acceptedMs !== 'number')
+  const { n: taskCount, t: acceptedMs, x: tuple, s: storedSpec } = value;
+  if (
+    !phase ||
+    !Number.isSafeInteger(taskCount) ||
+    (taskCount as number) <= 0 ||
+    typeof acceptedMs !== 'number'
+  )
     return undefined;
   if (typeof tuple !== 'string' || !/^[NESF]{1,2}$/.test(tuple)) return undefined;
   const spec =
-    isObject(storedSpec) && storedSpec.tasks === tasks && typeof storedSpec.team === 'string'
+    isJsonObject(storedSpec) && storedSpec.tasks === taskCount && typeof storedSpec.team === 'string'
       ? storedSpec
       : undefined;
   if (phase === 'open' && !spec) return undefined;
   const done = typeof value.d === 'string' ? value.d : '';
-  return { phase, tasks, spec, acceptedMs, tuple, successor: value.u === 1, done };
+  return { phase, taskCount, spec, acceptedMs, tuple, isSuccessorRunning: value.u === 1, done };
 }
 
 /**
@@ -58,7 +63,7 @@
  * description.
  */
 export function encodeJobAsProduction(record: Record<string, unknown>): unknown {
-  const { phase, tasks, acceptedMs, tuple, successor, done, spec } = record;
-  const base = { p: String(phase)[0], n: tasks, t: acceptedMs, x: tuple };
-  return spec === undefined ? base : { ...base, u: successor ? 1 : 0, d: done, s: spec };
+  const { phase, taskCount, acceptedMs, tuple, isSuccessorRunning, done, spec } = record;
+  const base = { p: String(phase)[0], n: taskCount, t: acceptedMs, x: tuple };
+  return spec === undefined ? base : { ...base, u: isSuccessorRunning ? 1 : 0, d: done, s: spec };
 }
