--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -2,20 +2,20 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import {
-  CROWDED_SHARE,
-  NODE_GROUP_WRITE_SPACING_MS,
-  DELEGATED_LEASES_PER_WRITE,
-  LIST_PAGE,
+  SCARCE_SOCKETS_SHARE,
+  MIN_NODE_GROUP_WRITE_INTERVAL_MS,
+  MAX_DELEGATED_LEASES_PER_KEY,
+  INSTANCE_LIST_PAGE_SIZE,
   MAX_INSTANCES_PER_LAUNCH,
 } from '../src/constants.js';
-import { settingsWarnings } from '../src/settings-warnings.js';
+import { findSettingsWarnings } from '../src/settings-warnings.js';
 import type { Settings } from '../src/settings.js';
-import { CloudClient, leaderCloudRates, type CloudEvent } from '../src/autoscaler/cloud-client.js';
-import type { HttpCaller } from '../src/http/message.js';
-import { AnswerTooLargeError } from '../src/http/message.js';
+import { CloudClient, computeLeaderCloudRates, type CloudEvent } from '../src/autoscaler/cloud-client.js';
+import type { HttpClient } from '../src/http/message.js';
+import { ResponseTooLargeError } from '../src/http/message.js';
 import { MemoryGuard } from '../src/memory-guard.js';
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
-import { divideMemory, shareSockets } from '../src/sizing.js';
+import { divideMemory, divideSockets } from '../src/sizing.js';
 import { StateReplica } from '../src/state/state-replica.js';
 import { StoreClient } from '../src/state/store-client.js';
 
@@ -23,14 +23,18 @@
 const silentLog = pino({ level: 'silent' });
 
 test('sockets and memory are divided according to the size of a controller', () => {
-  const socketCases: [sockets: number, forClients: number, forCommands: number][] = [
+  const socketCases: [sockets: number, maxClientConnections: number, maxCommandConnections: number][] = [
     [128, 76, 20],
     [900, 701, 135],
     [1743, 1417, 262],
     [6500, 5461, 975],
   ];
-  for (const [sockets, forClients, forCommands] of socketCases)
-    assert.deepEqual(shareSockets(sockets), { forClients, forCommands }, `${sockets} sockets`);
+  for (const [sockets, maxClientConnections, maxCommandConnections] of socketCases)
+    assert.deepEqual(
+      divideSockets(sockets),
+      { maxClientConnections, maxCommandConnections },
+      `${sockets} sockets`,
+    );
   const memoryCases: [
     memoryMb: number,
     peerCount: number,
@@ -64,17 +68,20 @@
   for (const machineCount of [500, 1500, 4000, 6000]) {
     const nodeGroupCount = Math.ceil(machineCount / MAX_INSTANCES_PER_LAUNCH);
     assert.ok(nodeGroupCount / WRITES_PER_S < 15, `${machineCount}: writing the records of all node groups`);
-    const leaseWriteCount = Math.ceil(machineCount / DELEGATED_LEASES_PER_WRITE);
+    const leaseWriteCount = Math.ceil(machineCount / MAX_DELEGATED_LEASES_PER_KEY);
     assert.ok(leaseWriteCount / WRITES_PER_S < 5, `${machineCount}: registering the delegated leases`);
-    const pageCount = Math.ceil(machineCount / LIST_PAGE);
+    const pageCount = Math.ceil(machineCount / INSTANCE_LIST_PAGE_SIZE);
     assert.ok(pageCount / CLOUD_REQUESTS_PER_S < 5, `${machineCount}: reading the instance list`);
     const launchCount = Math.ceil(machineCount / MAX_INSTANCES_PER_LAUNCH);
     assert.ok(launchCount / CLOUD_REQUESTS_PER_S < 45, `${machineCount}: renting all machines`);
     // A node group that changes constantly is written at this interval. The writes of all node groups together must leave
     // room for the writes of jobs.
-    assert.ok(NODE_GROUP_WRITE_SPACING_MS >= 200, `${machineCount}: spacing of the writes of a node group`);
     assert.ok(
-      shareSockets(machineCount).forClients * CROWDED_SHARE > machineCount / 2,
+      MIN_NODE_GROUP_WRITE_INTERVAL_MS >= 200,
+      `${machineCount}: spacing of the writes of a node group`,
+    );
+    assert.ok(
+      divideSockets(machineCount).maxClientConnections * SCARCE_SOCKETS_SHARE > machineCount / 2,
       `${machineCount}: sockets for clients`,
     );
   }
@@ -82,32 +89,43 @@
 
 test('each setting that is too low for the guarantees of the service causes one warning', () => {
   const sufficient = {
-    controllers: 3,
-    leaseS: 14,
-    reportS: 1.5,
-    cancelS: 39,
-    state: { rps: 200, writesPerS: 80, valueBytes: 8192, txnOps: 12 },
-    cloud: { rps: 6, listLagS: 5 },
-    sockets: shareSockets(900),
+    controllerCount: 3,
+    leaseDurationS: 14,
+    heartbeatIntervalS: 1.5,
+    maxCancellationS: 39,
+    stateLimits: {
+      requestsPerSecond: 200,
+      writesPerSecond: 80,
+      valueBytes: 8192,
+      maxTransactionOperations: 12,
+    },
+    cloudLimits: { rps: 6, maxListLagS: 5 },
+    socketLimits: divideSockets(900),
     memoryBytes: 108 * MB,
   } as Settings;
   const warningCases: [changes: Partial<Settings>, warnings: RegExp[]][] = [
     [{}, []],
-    [{ state: { ...sufficient.state, rps: 10 } }, [/^state.rps is 10, but at least 22.23 is needed: /]],
-    [{ controllers: 50 }, [/^state.rps is 200, but at least 370.38 is needed: /]],
-    [{ state: { ...sufficient.state, writesPerS: 4 } }, [/^state.write_rps is 4, /]],
     [
-      { state: { ...sufficient.state, valueBytes: 512, txnOps: 2 } },
+      { stateLimits: { ...sufficient.stateLimits, requestsPerSecond: 10 } },
+      [/^state.rps is 10, but at least 22.23 is needed: /],
+    ],
+    [{ controllerCount: 50 }, [/^state.rps is 200, but at least 370.38 is needed: /]],
+    [{ stateLimits: { ...sufficient.stateLimits, writesPerSecond: 4 } }, [/^state.write_rps is 4, /]],
+    [
+      { stateLimits: { ...sufficient.stateLimits, valueBytes: 512, maxTransactionOperations: 2 } },
       [/^state.value_kb is 0.5/, /^state.txn_ops is 2/],
     ],
-    [{ cloud: { rps: 0.5, listLagS: 5 } }, [/^cloud.rps is 0.5/]],
-    [{ sockets: shareSockets(128) }, [/max_connections \(for clients\) is 76, but at least 100 is needed/]],
+    [{ cloudLimits: { rps: 0.5, maxListLagS: 5 } }, [/^cloud.rps is 0.5/]],
+    [
+      { socketLimits: divideSockets(128) },
+      [/max_connections \(for clients\) is 76, but at least 100 is needed/],
+    ],
     [{ memoryBytes: 64 * MB }, [/^quota.mem_mb is 64, but at least 100 is needed/]],
-    [{ leaseS: 5 }, [/^workers.lease_s is 5, but at least 6 is needed/]],
-    [{ cancelS: 15 }, [/^workers.cancel_s is 15, but at least 20.5 is needed/]],
+    [{ leaseDurationS: 5 }, [/^workers.lease_s is 5, but at least 6 is needed/]],
+    [{ maxCancellationS: 15 }, [/^workers.cancel_s is 15, but at least 20.5 is needed/]],
   ];
   for (const [changes, patterns] of warningCases) {
-    const warnings = settingsWarnings({ ...sufficient, ...changes });
+    const warnings = findSettingsWarnings({ ...sufficient, ...changes });
     assert.equal(warnings.length, patterns.length, warnings.join('\n'));
     patterns.forEach((pattern, i) => assert.match(warnings[i]!, pattern));
   }
@@ -138,11 +156,11 @@
   const clock = new SimulatedClock();
   const requestedTargets: string[] = [];
   let isResponseTooLarge = false;
-  const caller: HttpCaller = {
+  const caller: HttpClient = {
     call: (_address, _method, target) => {
       requestedTargets.push(target);
       if (target.startsWith('/follow')) {
-        if (isResponseTooLarge) return Promise.reject(new AnswerTooLargeError('too large'));
+        if (isResponseTooLarge) return Promise.reject(new ResponseTooLargeError('too large'));
         return Promise.resolve({ status: 200, body: '{"epoch":1,"log":[]}' });
       }
       const value = isResponseTooLarge ? 'new' : 'old';
@@ -155,7 +173,7 @@
     caller,
     address: 'state:1',
     clock,
-    limits: { rps: 100, writesPerS: 50, txnOps: 10 },
+    limits: { requestsPerSecond: 100, writesPerSecond: 50, maxTransactionOperations: 10 },
     controllerCount: 1,
   });
   const replica = new StateReplica(client, 'ph/', clock, silentLog);
@@ -186,15 +204,16 @@
     phase: 'running',
     ageS: 1,
   });
-  const caller: HttpCaller = {
+  const caller: HttpClient = {
     call: (_address, method, target) => {
       requests.push({ atMs: clock.steadyMs(), target: `${method} ${target}` });
       if (target === '/catalog') return Promise.resolve({ status: 200, body: '{"builds":[]}' });
       if (method === 'POST') return Promise.resolve({ status: 200, body: '{"hearths":[]}' });
       const sinceMatch = /since=vm-(\d+)/.exec(target);
       const firstIndex = sinceMatch ? Number(sinceMatch[1]) + 1 : 0;
-      const rows = Array.from({ length: Math.min(LIST_PAGE, INSTANCE_COUNT - firstIndex) }, (_, i) =>
-        hostRow(firstIndex + i),
+      const rows = Array.from(
+        { length: Math.min(INSTANCE_LIST_PAGE_SIZE, INSTANCE_COUNT - firstIndex) },
+        (_, i) => hostRow(firstIndex + i),
       );
       return Promise.resolve({
         status: 200,
@@ -208,7 +227,7 @@
   const cloudClient = new CloudClient({
     caller,
     address: 'c:1',
-    rates: leaderCloudRates(REQUESTS_PER_SECOND, false),
+    rates: computeLeaderCloudRates(REQUESTS_PER_SECOND, false),
     clock,
     onEvent,
     mayCall: () => true,
@@ -220,7 +239,11 @@
   for (let elapsedS = 0; elapsedS < DURATION_S; elapsedS += 2) {
     cloudClient.send({
       kind: 'launch',
-      request: { name: `r-${elapsedS}`, offering: { type: 'm', zone: 'z', spot: false }, count: 1 },
+      request: {
+        requestName: `r-${elapsedS}`,
+        offering: { type: 'm', zone: 'z', spot: false },
+        nodeCount: 1,
+      },
     });
     await clock.runUntil(elapsedS * 1000);
   }
--- a/test/support/cluster-fixture.ts
+++ b/test/support/cluster-fixture.ts
@@ -2,10 +2,10 @@
 import { ClusterState, type Attempt, type Node } from '../../src/cluster/cluster-state.js';
 import { HeartbeatReconciler } from '../../src/cluster/heartbeat-reconciler.js';
 import { NodeHealth, type NodeHealthDependencies } from '../../src/cluster/node-health.js';
-import { pendingCommands } from '../../src/cluster/pending-commands.js';
+import { generatePendingCommands } from '../../src/cluster/pending-commands.js';
 import type { Heartbeat, TaskStatus } from '../../src/cluster/worker-messages.js';
 import { Job } from '../../src/pipeline/job.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 /** Duration of the workers' lease in these tests, in seconds. */
 export const LEASE_S = 10;
@@ -15,17 +15,17 @@
 const NODE_DESCRIPTION = { address: 'a:1', type: 'small', zone: 'a', spot: false };
 
 function createJob(): Job<Attempt> {
-  const spec = jobSpec();
+  const spec = createJobSpec();
   const record = {
     phase: 'open' as const,
-    tasks: 4,
+    taskCount: 4,
     spec,
     acceptedMs: 0,
     memberStates: 'E',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
-  return new Job<Attempt>({ uid: JOB_UID, record, spec, modRevision: 1, objectives: [] });
+  return new Job<Attempt>({ uid: JOB_UID, record, spec, modRevision: 1, deadlineObjectives: [] });
 }
 
 /**
@@ -37,8 +37,8 @@
   const released: Attempt[] = [];
   const exits: string[] = [];
   const clusterState = new ClusterState({
-    exited: (attempt, cause) => exits.push(`${attempt.index} ${cause}`),
-    released: (attempt) => released.push(attempt),
+    onExited: (attempt, cause) => exits.push(`${attempt.taskIndex} ${cause}`),
+    onReleased: (attempt) => released.push(attempt),
   });
   const reconciler = new HeartbeatReconciler({
     clusterState,
@@ -60,7 +60,7 @@
 ): Heartbeat {
   return {
     ...NODE_DESCRIPTION,
-    node: NODE_NAME,
+    nodeName: NODE_NAME,
     incarnation,
     sequence,
     fencingToken: 1,
@@ -71,15 +71,15 @@
 
 /** Creates a running task of the job, as its worker lists it. */
 export const createRunningTask = (index: number, attempt: number): TaskStatus => ({
-  job: JOB_UID,
-  index,
-  attempt,
+  jobUid: JOB_UID,
+  taskIndex: index,
+  attemptNumber: attempt,
   state: 'running',
 });
 
 /** Lists all pending commands for the node, with every start allowed. */
 export const listCommands = (node: Node) =>
-  [...pendingCommands(node, () => true)].map(({ command }) => command);
+  [...generatePendingCommands(node, () => true)].map(({ command }) => command);
 
 /** Creates the node health of a term that begins at 0 ms, without partitions and delegated leases. */
 export function createNodeHealth(
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -4,10 +4,10 @@
 import { ClusterState, type Attempt } from '../../src/cluster/cluster-state.js';
 import { LOST_START_FENCING_DELAY_MS, STOP_RESEND_INTERVAL_MS } from '../../src/constants.js';
 import { LeadershipAuthority } from '../../src/election/leadership-authority.js';
-import { CallError, type HttpResponse } from '../../src/http/message.js';
+import { HttpCallError, type HttpResponse } from '../../src/http/message.js';
 import { Job } from '../../src/pipeline/job.js';
 import { CommandDispatcher } from '../../src/workers/command-dispatcher.js';
-import { jobSpec } from '../fixtures.js';
+import { createJobSpec } from '../fixtures.js';
 
 const TERM_MS = 600_000;
 
@@ -16,27 +16,27 @@
   '"warningS":null,"pieces":[]}';
 
 function createJob(): Job<Attempt> {
-  const spec = jobSpec();
+  const spec = createJobSpec();
   const record = {
     phase: 'open' as const,
-    tasks: 4,
+    taskCount: 4,
     spec,
     acceptedMs: 0,
     memberStates: 'E',
-    successor: false,
-    completed: '',
+    isSuccessorRunning: false,
+    firstCompletionSegment: '',
   };
-  return new Job<Attempt>({ uid: 'job-000001', record, spec, modRevision: 1, objectives: [] });
+  return new Job<Attempt>({ uid: 'job-000001', record, spec, modRevision: 1, deadlineObjectives: [] });
 }
 
 /** Creates a dispatcher and a node with one planned attempt. `respond` simulates the worker of the node. */
 function setUp(respond: () => Promise<HttpResponse>) {
-  const clusterState = new ClusterState({ exited: () => undefined, released: () => undefined });
+  const clusterState = new ClusterState({ onExited: () => undefined, onReleased: () => undefined });
   const description = { name: 'vm-1', address: 'a:1', type: 'small', zone: 'a', spot: false };
   const node = clusterState.addNode({ ...description, capacity: { cpus: 8, accelerators: 0, memGb: 64 } }, 0);
   node.markReconciled();
   const job = createJob();
-  const attempt = clusterState.planAttempt({ job, index: 0, number: 7, node }, 0);
+  const attempt = clusterState.planAttempt({ job, taskIndex: 0, number: 7, node }, 0);
   const authority = new LeadershipAuthority();
   authority.renew(0, TERM_MS);
   const bodies: string[] = [];
@@ -53,7 +53,7 @@
     log: pino({ level: 'silent' }),
     mayStart: () => true,
     deliverCallResult: (result) => dispatcher.handleCallResult(result),
-    handleResponse: (_node, heartbeat) => responses.push(heartbeat.node),
+    handleResponse: (_node, heartbeat) => responses.push(heartbeat.nodeName),
   });
   const sendPending = async (nowMs: number): Promise<void> => {
     dispatcher.sendPending(nowMs);
@@ -76,8 +76,8 @@
     ['fenced', respondWith(409), 'planned', 'none', ['vm-1']],
     ['malformed', respondWith(400), 'planned', 'none', []],
     ['another status', respondWith(500), 'sent', 'lost', []],
-    ['not sent', failWith(new CallError('unsent', 'refused')), 'planned', 'none', []],
-    ['no response', failWith(new CallError('unclear', 'timeout')), 'sent', 'lost', []],
+    ['not sent', failWith(new HttpCallError('unsent', 'refused')), 'planned', 'none', []],
+    ['no response', failWith(new HttpCallError('unclear', 'timeout')), 'sent', 'lost', []],
     ['another error', failWith(new TypeError('unexpected')), 'sent', 'lost', []],
   ];
   for (const [name, respond, state, directStart, responses] of cases) {
@@ -92,7 +92,7 @@
 
 test('a lost start is not repeated by a direct call, and is fenced by a new term once its job has ended', async () => {
   const { clusterState, job, attempt, node, dispatcher, bodies, sendPending } = setUp(() =>
-    Promise.reject(new CallError('unclear', 'timeout')),
+    Promise.reject(new HttpCallError('unclear', 'timeout')),
   );
   await sendPending(10);
   // A heartbeat did not list the attempt, so its start has to be sent again, but not by a direct call.
@@ -123,7 +123,7 @@
   bodies.length = 0;
   const formatStopBody = (gracePeriodS: number): string =>
     `{"baton":3,"tenure":0,"orders":[{"verb":"stop","piece":"job-000001/0","try":7,"leewayS":${gracePeriodS}}]}`;
-  dispatcher.stop(attempt, 30);
+  dispatcher.requestStop(attempt, 30);
   const steps: [name: string, atMs: number, gracePeriodS: number, expected: string[]][] = [
     ['first', 10, 30, [formatStopBody(30)]],
     ['too early', 9 + STOP_RESEND_INTERVAL_MS, 30, []],
@@ -133,7 +133,7 @@
   ];
   for (const [name, atMs, gracePeriodS, expected] of steps) {
     bodies.length = 0;
-    dispatcher.stop(attempt, gracePeriodS);
+    dispatcher.requestStop(attempt, gracePeriodS);
     await sendPending(atMs);
     assert.deepEqual(bodies, expected, name);
   }
@@ -141,6 +141,6 @@
 
 test('an attempt whose start was never sent is withdrawn when it is stopped', () => {
   const { attempt, node, dispatcher } = setUp(() => assert.fail('nothing is sent'));
-  dispatcher.stop(attempt, 30);
+  dispatcher.requestStop(attempt, 30);
   assert.equal(node.attempts.size, 0);
 });
--- a/test/workers/heartbeat-relay.test.ts
+++ b/test/workers/heartbeat-relay.test.ts
@@ -4,7 +4,7 @@
 import { SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 import {
   RELAY_RESPONSE_VALIDITY_MS,
-  RELAY_RETRY_INTERVAL_MS,
+  RELAY_REVIEW_INTERVAL_MS,
   RELAY_TIMEOUT_MS,
 } from '../../src/constants.js';
 import type { HttpResponse } from '../../src/http/message.js';
@@ -36,8 +36,8 @@
       onMessage: (listener) => (deliverPeerMessage = listener),
     },
     maxPending: MAX_PENDING,
-    leader: () => cluster.leader,
-    refusingLeader: () => cluster.refusingLeader,
+    getReachableLeader: () => cluster.leader,
+    getRefusingLeader: () => cluster.refusingLeader,
     handleLocally: (_body, respond) => {
       if (cluster.isProxyActive) respond({ status: 200, body: 'proxy' });
       return cluster.isProxyActive;
@@ -151,7 +151,7 @@
   sendHeartbeat();
   assert.equal(forwarded.length, 1);
   cluster.isChannelFull = false;
-  await clock.runUntil(RELAY_RETRY_INTERVAL_MS + 1);
+  await clock.runUntil(RELAY_REVIEW_INTERVAL_MS + 1);
   assert.equal(forwarded.length, 2);
   relayResponse(forwarded[1]!.id, 'a');
   assert.equal(responses.at(-1)!.status, 200);
