--- a/src/cluster/attempt.ts
+++ b/src/cluster/attempt.ts
@@ -40,11 +40,17 @@
   /** Resources that the attempt takes from its node and from the quota of its team. */
   readonly resources: Resources;
   readonly state: AttemptState;
-  /** Sequence number of the heartbeat whose response carried the start command. 0 if no start command was sent. */
+  /**
+   * Sequence number of the worker's newest known message when the start command was last sent. For a command in the
+   * response to a heartbeat, that is this heartbeat. 0 if no start command was sent.
+   */
   readonly startSentSequence: WireInt;
-  /** Steady time in ms at which the start command was sent. -Infinity if none was sent. */
+  /** Steady time in ms at which the start command was last sent. -Infinity if none was sent. */
   readonly startSentMs: number;
-  /** Steady time in ms at which the attempt was first seen running. Until then, the time at which it was planned. */
+  /**
+   * Steady time in ms at which the worker first listed the attempt as running. Until then, the time at which the
+   * attempt was planned, or first listed if it was not planned in this term.
+   */
   readonly startedMs: number;
   /** The request to stop the attempt. Undefined if the attempt should keep running. */
   readonly stopRequest: { readonly gracePeriodS: number } | undefined;
@@ -54,22 +60,23 @@
   readonly directStart: DirectStartState;
 
   /**
-   * Records that a start command was sent with the response to the heartbeat of this sequence number, or after it.
+   * Records that a start command was sent in the response to the heartbeat with this sequence number, or by a direct
+   * call while the worker's message with this sequence number was the newest known one.
    */
   markStartSent(sequence: WireInt, nowMs: number): void;
   /**
-   * Returns the attempt to `planned`, because its start command was certainly not executed or may safely be sent
+   * Changes the state back to `planned`, because the start command was certainly not executed or may safely be sent
    * again.
    */
   returnToPlanned(): void;
-  /** Records that a call has begun that carries the start command directly to the worker. */
+  /** Records that the call that sends the start command directly to the worker has begun. */
   beginDirectStart(): void;
   /**
-   * Records that this call has ended. `lost` means that it had no response, so that the command may still be
-   * executed.
+   * Records that the call that sends the start command directly to the worker has ended. `lost` means that no
+   * response showed whether the command was executed, so that it may still be executed.
    */
   endDirectStart(outcome: Exclude<DirectStartState, 'pending'>): void;
-  /** Requests that the attempt stops, with this many seconds to save a checkpoint. */
+  /** Requests that the attempt stop, with `gracePeriodS` seconds to save a checkpoint. */
   requestStop(gracePeriodS: number): void;
   /** Records that the worker lists the attempt in a state other than exited. */
   recordState(state: Exclude<TaskState, 'exited'>, nowMs: number): void;
--- a/src/cluster/cluster-state.ts
+++ b/src/cluster/cluster-state.ts
@@ -38,8 +38,8 @@
 }
 
 /**
- * Tracks the resources that are allocated on each node and by each team. Resources that are not known to be free
- * count as allocated.
+ * Holds the nodes and their attempts, and tracks the resources that are allocated on each node and by each team.
+ * Resources that are not known to be free count as allocated.
  */
 export class ClusterState {
   /**
@@ -127,14 +127,14 @@
     return this.allocate(identity, 'running', nowMs);
   }
 
-  /** Withdraws an attempt whose start command was certainly not sent. */
+  /** Withdraws a planned attempt. Its start command was not sent, or was certainly not executed and never will be. */
   withdrawPlannedAttempt(attempt: Attempt): void {
     this.removeAttempt(attempt);
   }
 
   /**
-   * Records that the attempt has exited. Its resources become free, and its node keeps it until the worker may forget
-   * it.
+   * Records that the attempt has exited. Its resources become free, and its node keeps it until the worker no longer
+   * lists it.
    */
   exitAttempt(attempt: Attempt, cause: ExitCause): void {
     attempt.recordExit(cause);
--- a/src/cluster/heartbeat-reconciler.ts
+++ b/src/cluster/heartbeat-reconciler.ts
@@ -1,6 +1,4 @@
-/**
- * Reconciles the attempts of the cluster state, which the leader decided, with the tasks that workers actually list.
- */
+/** Reconciles the attempts that the cluster state holds with the tasks that the workers list. */
 import type { Heartbeat, TaskStatus } from './worker-messages.js';
 import { formatAttemptKey, type Attempt, type Job } from './attempt.js';
 import type { ClusterState } from './cluster-state.js';
@@ -28,8 +26,8 @@
   constructor(private readonly dependencies: HeartbeatReconcilerDependencies) {}
 
   /**
-   * Applies what a worker lists in a heartbeat or in its response to a command. Returns false and changes nothing if
-   * this is older than what is already known.
+   * Applies the status that a worker sent in a heartbeat or in its response to a command. Returns false and changes
+   * nothing if the status is no newer than the last known one, or if it belongs to a fenced incarnation.
    */
   apply(node: Node, heartbeat: Heartbeat, source: HeartbeatSource, nowMs: number): boolean {
     if (heartbeat.incarnation <= node.fencedIncarnation || !isNewerHeartbeat(heartbeat, node)) return false;
@@ -49,17 +47,23 @@
     return true;
   }
 
-  /** Records that a heartbeat is answered with status 200. This has to be called before the response is sent. */
-  recordResponse(node: Node, nowMs: number): void {
-    node.recordResponse(nowMs);
-    this.extendLease(node, nowMs);
+  /**
+   * Records that a heartbeat is answered with status 200, and that the response reaches the worker at the steady time
+   * `responseMs` at the latest. This has to be called before the response is sent.
+   */
+  recordResponse(node: Node, responseMs: number): void {
+    node.recordResponse(responseMs);
+    this.extendLease(node, responseMs);
   }
 
-  private extendLease(node: Node, nowMs: number): void {
-    node.extendLease(computeLeaseExpiryMs(nowMs, this.dependencies.leaseS));
+  private extendLease(node: Node, leaseStartMs: number): void {
+    node.extendLease(computeLeaseExpiryMs(leaseStartMs, this.dependencies.leaseS));
   }
 
-  /** Ends all attempts of the previous incarnation if the heartbeat belongs to a newer one. */
+  /**
+   * If the heartbeat belongs to a newer incarnation, ends all attempts of the previous one and extends the lease. Also
+   * detects that the previous incarnation ended because responses did not reach the worker.
+   */
   private applyIncarnation(node: Node, heartbeat: Heartbeat, nowMs: number): void {
     const { lastResponseMs } = node;
     if (
@@ -115,8 +119,8 @@
   }
 
   /**
-   * Classifies the attempts that the worker does not list. Returns true if a start command that was sent was not
-   * executed.
+   * Classifies each attempt that the worker does not list, and removes those that have ended. Returns true if a start
+   * command that was sent has had no effect.
    */
   private applyUnlistedAttempts(
     node: Node,
@@ -126,8 +130,8 @@
     let hasUnexecutedStart = false;
     for (const [key, attempt] of node.attempts) {
       if (listedKeys.has(key)) continue;
-      if (this.applyUnlistedVerdict(node, attempt, source)) hasUnexecutedStart = true;
-      // An attempt whose start was not executed and is no longer wanted has ended.
+      if (this.applyUnlistedAttempt(node, attempt, source)) hasUnexecutedStart = true;
+      // A planned attempt that should be stopped has ended if none of its start commands can still be executed.
       if (attempt.state === 'planned' && attempt.stopRequest && attempt.directStart === 'none')
         this.dependencies.clusterState.removeAttempt(attempt);
     }
@@ -136,9 +140,9 @@
 
   /**
    * Classifies an attempt that the worker does not list, and applies the verdict. Returns true if a start command
-   * that was sent had no effect and has to be sent again.
+   * that was sent has had no effect, so that the attempt is planned again.
    */
-  private applyUnlistedVerdict(node: Node, attempt: Attempt, source: HeartbeatSource): boolean {
+  private applyUnlistedAttempt(node: Node, attempt: Attempt, source: HeartbeatSource): boolean {
     const { startSentSequence, directStart } = attempt;
     const state = attempt.state === 'planned' || attempt.state === 'sent' ? attempt.state : 'listed';
     const verdict = classifyUnlistedAttempt({
--- a/src/cluster/lease-rules.ts
+++ b/src/cluster/lease-rules.ts
@@ -1,6 +1,6 @@
 /**
- * The safety rules for leases and heartbeats, as pure functions. Everything that decides whether a task has certainly
- * ended belongs here.
+ * The safety rules for leases and heartbeats, as pure functions. Every rule that infers from a lease or a heartbeat
+ * whether a task has certainly ended belongs here.
  */
 import { MAX_CLOCK_DRIFT_RATIO, LEASE_EXPIRY_MARGIN_MS } from '../constants.js';
 import type { WireInt } from '../wire/json.js';
@@ -10,13 +10,14 @@
  * certainly expired on the worker.
  */
 export function computeLeaseExpiryMs(responseMs: number, leaseS: number): number {
-  // The worker's lease starts when it sends the heartbeat, which is before the response. Its clock may be slower.
+  // The worker's lease starts when it sends the heartbeat, which is before the response. The worker's clock may run
+  // slower than the leader's.
   return responseMs + leaseS * 1000 * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_EXPIRY_MARGIN_MS;
 }
 
 /** The position of a worker's message in the order of all its messages. */
 export interface HeartbeatVersion {
-  /** Number that grows each time the worker restarts or loses its lease. */
+  /** Number that grows each time the worker's lease expires. A restarted worker counts from the start again. */
   readonly incarnation: WireInt;
   /** Number that grows with each message of the incarnation. */
   readonly sequence: WireInt;
@@ -41,14 +42,14 @@
  *
  * - `current`: The worker has received a response of this term.
  * - `firstContact`: The worker does not know the fencing token of this term, so the heartbeat may be an old copy. The
- *   response shows the token to the worker, and the leader learns nothing from the heartbeat.
+ *   response shows the token to the worker, and the leader concludes nothing about the worker's tasks.
  * - `stale`: The heartbeat belongs to a deleted node, or is older than what the node has already shown, or comes from
  *   a worker that obeys a later term. Such a worker would ignore the response, although its lease would count as
  *   extended here.
  */
 export type HeartbeatFreshness = 'current' | 'firstContact' | 'stale';
 
-/** Classifies a heartbeat by the fencing token that it shows. */
+/** Classifies a heartbeat by the fencing token that it shows and by what is known about its node. */
 export function classifyHeartbeat(
   fencingToken: WireInt,
   termFencingToken: number,
@@ -71,7 +72,7 @@
 
 /**
  * Whether the end of an incarnation shows that responses do not reach the worker. This is the case if its lease
- * expired although a heartbeat was answered within the last half of the lease duration.
+ * expired although a heartbeat was answered less than half a lease duration ago.
  */
 export function hasExpiredDespiteResponse(change: IncarnationChange): boolean {
   const { heartbeat, lastKnown, lastResponseMs, nowMs, leaseS } = change;
@@ -87,8 +88,8 @@
  *
  * - `none`: No such call is in progress, and none was lost.
  * - `pending`: The call is in progress.
- * - `lost`: The call ended without a response, and the command may be executed as long as the incarnation lasts. From
- *   then on the command is repeated only in responses to heartbeats.
+ * - `lost`: The call ended without a response that shows whether the command was executed. The command may still be
+ *   executed as long as the worker's incarnation lasts, and is repeated only in responses to heartbeats.
  */
 export type DirectStartState = 'none' | 'pending' | 'lost';
 
@@ -99,7 +100,7 @@
 export interface UnlistedAttempt {
   /** `listed` means that the worker has listed the attempt before. */
   readonly state: 'planned' | 'sent' | 'listed';
-  /** Sequence number of the heartbeat whose response carried the start command. */
+  /** Sequence number of the worker's newest known message when the start command was last sent. */
   readonly startSentSequence: WireInt;
   readonly directStart: DirectStartState;
   readonly source: HeartbeatSource;
@@ -120,7 +121,8 @@
 /**
  * Classifies an attempt that is missing from a newer list. A worker has only one heartbeat in flight and ignores late
  * responses, so by its next heartbeat the start command was executed or never will be. The response to a direct
- * command does not prove this. It can overtake the response to a heartbeat, whose command is then executed later.
+ * call does not prove this: it can overtake the response to a heartbeat, and the start command in that response is
+ * then executed later.
  */
 export function classifyUnlistedAttempt(attempt: UnlistedAttempt): UnlistedVerdict {
   const { state, source, listSequence, startSentSequence, directStart } = attempt;
--- a/src/cluster/node-group.ts
+++ b/src/cluster/node-group.ts
@@ -29,7 +29,7 @@
   }
 
   /** Whether a write of the group is in progress. */
-  get isWriting(): boolean {
+  get isWriteInProgress(): boolean {
     return this.isBeingWritten;
   }
 
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Returns the value of the group for the state store. Undefined if the group has no nodes, as its key is then
+   * Returns the value of the group for the state store. Undefined if the group has no nodes, because its key is then
    * deleted.
    */
   toStoredValue(): unknown {
--- a/src/cluster/node-health.ts
+++ b/src/cluster/node-health.ts
@@ -1,6 +1,7 @@
 /**
- * Judges the health of nodes by their silence and their failures. The result decides which nodes are used and which
- * are replaced. It never decides whether a task has ended, because only the lease rules may decide that.
+ * Judges the health of nodes by their silence and their failures. The result decides which nodes get new tasks and
+ * which are replaced. It never decides whether a task has ended, because only the lease rules may conclude that from
+ * the silence of a node.
  */
 import {
   DEFAULT_BOOT_TIME_S,
@@ -87,8 +88,8 @@
   }
 
   /**
-   * Whether tasks of several jobs failed on the node although these jobs run elsewhere. The fault is then probably
-   * that of the node.
+   * Whether tasks of several jobs failed on the node, and these jobs failed on few other nodes. The fault is then
+   * probably that of the node.
    */
   isQuarantined(node: Node): boolean {
     // This is checked several times per scheduling cycle for each node, and on nearly all nodes no job has failed.
@@ -134,7 +135,7 @@
     let nodeCount = 0;
     for (const node of this.dependencies.clusterState.nodes.values()) {
       if (node.lastHeartbeatMs === -Infinity || nowMs > node.leaseExpiryMs) continue;
-      // If the controllers of the zone are not alive for the leader either, they renew the leases of its nodes.
+      // If the leader cannot reach the controllers of the zone either, these renew the leases of the zone's nodes.
       if (this.isZoneUnreachable(node.zone)) continue;
       nodeCount++;
       if (this.computeSilenceMs(node, nowMs) > maxSilenceMs) silentCount++;
@@ -215,8 +216,8 @@
     // It is more likely that the controller is partitioned or has ended than that the node is lost. The worker then
     // gives up on this controller and switches to another one.
     if (this.suspectControllers.has(node.relayedBy)) return this.controllerSwitchMs;
-    // If nearly all other nodes were heard in a new term, there is no reason to wait longer for the few that are
-    // lost.
+    // If nearly all other nodes were heard in a new term, there is no reason to wait longer for the few that were
+    // not heard.
     if (node.relayedBy === '') return this.controllerSwitchMs - WORKER_RESPONSE_TIMEOUT_MS;
     return UNREACHABLE_AFTER_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs;
   }
--- a/src/cluster/node-records.ts
+++ b/src/cluster/node-records.ts
@@ -35,8 +35,8 @@
   readonly isApplied: boolean;
 }
 
-/** A group that results from a split, and the nodes that are marked as used in its value. */
-interface SplitPart {
+/** A write of a group, and the nodes that are marked as used in the written value. */
+interface GroupWrite {
   readonly group: NodeGroup;
   readonly usedNodes: readonly Node[];
 }
@@ -60,7 +60,7 @@
   }
 
   /**
-   * Adds the nodes that earlier terms recorded to the cluster state. Returns each node with whether it may hold
+   * Adds to the cluster state the nodes that earlier terms recorded. Returns each node with whether it may hold
    * tasks.
    */
   load(
@@ -127,13 +127,13 @@
   }
 
   /**
-   * Returns the time in ms until a changed group may be written. Groups with a write in progress do not count.
-   * Infinity if no other group has changed.
+   * Returns the time in ms until a changed group may be written. Groups with a write in progress do not count. The
+   * result is Infinity if no other group has changed.
    */
   computeFlushDelayMs(nowMs: number): number {
     let delayMs = Infinity;
     for (const group of this.changedGroups)
-      if (!group.isWriting) delayMs = Math.min(delayMs, group.computeWriteDelayMs(nowMs));
+      if (!group.isWriteInProgress) delayMs = Math.min(delayMs, group.computeWriteDelayMs(nowMs));
     return Math.max(0, delayMs);
   }
 
@@ -165,7 +165,8 @@
       return;
     }
     const modRevision = stored?.modRevision ?? 0;
-    // The group was created under larger limits, or its nodes have longer names than expected.
+    // The value is too large if the group was created under larger limits, or if its nodes have longer names than
+    // expected.
     if (
       value !== undefined &&
       group.size > 1 &&
@@ -179,7 +180,7 @@
       .then((result) => this.deliverWriteResult({ group, usedNodes }, result));
   }
 
-  private deliverWriteResult({ group, usedNodes }: SplitPart, result: CommitResult): void {
+  private deliverWriteResult({ group, usedNodes }: GroupWrite, result: CommitResult): void {
     // A value that the store rejects as malformed would be rejected again, so it is not resent at once.
     if (result.outcome === 'refused' && result.isMalformed)
       group.postponeWrite(MALFORMED_VALUE_RETRY_DELAY_MS);
@@ -197,7 +198,7 @@
       Math.ceil(members.length / this.maxGroupSize),
     );
     const partSize = Math.ceil(members.length / partCount);
-    const parts = Array.from({ length: partCount }, (_, index): SplitPart => {
+    const parts = Array.from({ length: partCount }, (_, index): GroupWrite => {
       const part = index === 0 ? group : this.createGroup(group.kind);
       part.beginWriteWith(group);
       for (const [node, isUsed] of members.slice(index * partSize, (index + 1) * partSize)) {
@@ -216,7 +217,7 @@
       .then((result) => this.handleSplitResult(group, parts, result));
   }
 
-  private handleSplitResult(group: NodeGroup, parts: readonly SplitPart[], result: CommitResult): void {
+  private handleSplitResult(group: NodeGroup, parts: readonly GroupWrite[], result: CommitResult): void {
     if (result.outcome === 'applied') {
       for (const part of parts) this.deliverWriteResult(part, result);
       return;
--- a/src/cluster/node.ts
+++ b/src/cluster/node.ts
@@ -32,15 +32,18 @@
   readonly allocated: Resources;
   /** All attempts that are or may be on the node, by `formatAttemptKey`, in the order in which they became known. */
   readonly attempts: ReadonlyMap<string, Attempt>;
-  /** The worker's incarnation, which grows each time the worker restarts or loses its lease. 0 if none was seen. */
+  /** The worker's incarnation, which grows each time the worker's lease expires. 0 if none was seen. */
   readonly incarnation: WireInt;
-  /** Sequence number of the newest heartbeat within the incarnation. */
+  /** Sequence number of the worker's newest message, which is a heartbeat or the response to a command. */
   readonly sequence: WireInt;
-  /** When the last heartbeat arrived. -Infinity if no heartbeat arrived in this term. */
+  /** When the last heartbeat with this term's fencing token arrived. -Infinity if none did. */
   readonly lastHeartbeatMs: number;
-  /** When the first heartbeat without this term's fencing token arrived in this term. -Infinity if none did. */
+  /**
+   * When the first heartbeat without this term's fencing token arrived in this term, or since the lease last expired.
+   * -Infinity if none did.
+   */
   readonly firstContactMs: number;
-  /** When a heartbeat was last answered with status 200. */
+  /** When the last response with status 200 to a heartbeat reaches the worker at the latest. */
   readonly lastResponseMs: number;
   /** Number of responses in a row that have no effect according to the heartbeats. */
   readonly unacknowledgedResponses: number;
@@ -50,7 +53,7 @@
   readonly fencedIncarnation: WireInt;
   /** Whether a heartbeat showed this term's fencing token, so that the list of attempts is complete. */
   readonly isReconciled: boolean;
-  /** Whether the state store marks the node as possibly holding tasks. It has to before the first start command. */
+  /** Whether the state store marks the node as possibly holding tasks. This has to be so before a task is started. */
   readonly isPersistedAsUsed: boolean;
   /** When the node was launched, as far as this is known. */
   readonly launchedMs: number;
@@ -80,8 +83,8 @@
     status: Pick<Heartbeat, 'incarnation' | 'sequence' | 'address' | 'interruptionNoticeS'>,
     nowMs: number,
   ): void;
-  /** Records that a heartbeat is answered with status 200. */
-  recordResponse(nowMs: number): void;
+  /** Records that a heartbeat is answered with status 200. The response arrives at `responseMs` at the latest. */
+  recordResponse(responseMs: number): void;
   /** Records that the heartbeats show the effect of a response. */
   acknowledgeResponses(): void;
   /** Records that a heartbeat shows that a response had no effect. */
@@ -194,8 +197,8 @@
     this.interruptionMs = interruptionNoticeS === null ? Infinity : nowMs + interruptionNoticeS * 1000;
   }
 
-  recordResponse(nowMs: number): void {
-    this.lastResponseMs = nowMs;
+  recordResponse(responseMs: number): void {
+    this.lastResponseMs = responseMs;
   }
 
   acknowledgeResponses(): void {
--- a/src/cluster/pending-commands.ts
+++ b/src/cluster/pending-commands.ts
@@ -44,7 +44,7 @@
   if (state === 'exited')
     return mayBeAcknowledged(attempt) ? { kind: 'acknowledge', taskName, attemptNumber: number } : undefined;
   if (stopRequest) {
-    // An attempt whose start command was certainly never sent needs no stop command.
+    // An attempt whose start command was not sent, or certainly not executed, needs no stop command.
     if (state === 'planned' && attempt.directStart === 'none') return undefined;
     return { kind: 'stop', taskName, attemptNumber: number, gracePeriodS: stopRequest.gracePeriodS };
   }
--- a/src/cluster/worker-messages.ts
+++ b/src/cluster/worker-messages.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * A worker's heartbeat. It identifies the worker, and tells which fencing token it has seen and which tasks are on
- * its node.
+ * A worker's heartbeat. It tells which worker sent it, which fencing token the worker has seen, and which tasks are on
+ * the worker's node. A worker also responds to a direct call with a message of this form.
  */
 export interface Heartbeat {
   /** Name of the worker's node. */
@@ -49,7 +49,7 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Number that grows each time the worker's lease expires, which ends all its tasks. */
+  /** Number that grows each time the worker's lease expires, which ends all tasks of the worker. */
   readonly incarnation: WireInt;
   /**
    * Number that grows with each message of an incarnation. The message with the larger (incarnation, sequence) is the
@@ -66,7 +66,7 @@
 
 /**
  * A command to a worker about one attempt of a task. Every command may be repeated, but no start command may follow
- * an acknowledgement.
+ * the acknowledgement of the same attempt.
  */
 export type WorkerCommand = StartCommand | StopCommand | AcknowledgeCommand;
 
--- a/src/leader/cluster-components.ts
+++ b/src/leader/cluster-components.ts
@@ -85,7 +85,7 @@
       maxOperations: settings.stateLimits.maxTransactionOperations,
       wallMs: () => clock.wallMs(),
       log,
-      onWriteCompleted: (result) => this.mailbox.send({ kind: 'jobWriteEnded', result }),
+      onWriteEnded: (result) => this.mailbox.send({ kind: 'jobWriteEnded', result }),
       requestRefresh: (key) => this.refreshKey(key),
       onJobCancelled: (job) => {
         for (const attempt of job.attemptByTask.values()) this.commandDispatcher.requestStop(attempt, 0);
@@ -133,7 +133,7 @@
       commit: this.commit,
       nowMs: this.nowMs,
       log,
-      onLeaseCheckCompleted: (result) => this.mailbox.send({ kind: 'leaseCheckEnded', result }),
+      onLeaseCheckEnded: (result) => this.mailbox.send({ kind: 'leaseCheckEnded', result }),
       requestSchedulingCycle: this.mailbox.requestSchedulingCycle,
     });
   }
--- a/src/leader/fleet-reconciler.ts
+++ b/src/leader/fleet-reconciler.ts
@@ -58,7 +58,7 @@
 
 /**
  * Selects the role that terminates a node. A node that is idle, or that was emptied before an interruption, is
- * returned. All other nodes are reclaimed together with the tasks on them.
+ * returned. All other nodes are reclaimed together with any tasks that are still on them.
  */
 const selectTerminationRole = (reason: TerminationReason): TerminationRole =>
   reason === 'idle' || reason === 'interrupted' ? 'return' : 'reclaim';
@@ -75,7 +75,7 @@
     return this.deletionTimesMs.has(name);
   }
 
-  /** Removes nodes that the cloud has deleted together with everything that ran on them. */
+  /** Removes nodes that the cloud has deleted, and releases the attempts on them. */
   handleTerminated(names: string[], nowMs: number): void {
     this.dependencies.log.info({ names }, 'nodes terminated');
     for (const name of names) {
@@ -108,6 +108,7 @@
       // The list lags, so it may still contain instances that were deleted a moment ago.
       if (!this.wasRecentlyDeleted(instance.name)) this.mergeInstance(instance, requestedMs, nowMs);
     }
+    // Twice the longest lag of the list, converted from seconds, and a margin.
     const maxListLagMs = settings.cloudLimits.maxListLagS * 2000 + INSTANCE_LIST_MARGIN_MS;
     // A missing list entry does not prove that the tasks of the node have ended. Deleting the node proves it and
     // costs nothing.
@@ -141,8 +142,8 @@
   }
 
   /**
-   * Confirms expired leases, withdraws planned starts from nodes that are not schedulable, and drains those nodes if
-   * necessary.
+   * Starts to confirm leases that seem to have expired, withdraws planned starts from nodes that are not schedulable,
+   * and drains those nodes if necessary.
    */
   reviewNodes(nowMs: number): void {
     const { clusterState, nodeHealth, reconciliation } = this.dependencies;
@@ -193,7 +194,7 @@
     return checkpointIntervalS === 0 && estimateRemainingRunS(attempt, nowMs) > remainingS;
   }
 
-  /** Terminates nodes that are idle, unreachable or never finished booting. */
+  /** Terminates nodes that are idle, are unreachable or never finished booting. */
   terminateUnneededNodes(nowMs: number): void {
     for (const node of this.dependencies.clusterState.nodes.values()) {
       if (node.isTerminating) continue;
--- a/src/leader/job-store.ts
+++ b/src/leader/job-store.ts
@@ -36,7 +36,7 @@
    * Called when a write of a job has ended. The result comes back through the leader's mailbox to
    * `handleWriteResult`.
    */
-  readonly onWriteCompleted: (result: JobWriteResult) => void;
+  readonly onWriteEnded: (result: JobWriteResult) => void;
   /** Requests that the stored value of a job is read and applied again. */
   readonly requestRefresh: (key: string) => void;
   /** Called when a job was cancelled, so that its tasks are stopped. */
@@ -165,7 +165,7 @@
     }
     void this.dependencies
       .commit(conditions, operations)
-      .then((result) => this.dependencies.onWriteCompleted({ job, result, write }));
+      .then((result) => this.dependencies.onWriteEnded({ job, result, write }));
   }
 
   /** Applies the result of a write. After a failed write the stored value is read again. */
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -35,12 +35,12 @@
     const { clock, log } = dependencies;
     this.schedulingCycleTask = new ThrottledTask(
       clock,
-      { minIntervalMs: SCHEDULING_CYCLE_MIN_INTERVAL_MS, restRatio: SCHEDULING_CYCLE_INTERVAL_RATIO },
+      { minIntervalMs: SCHEDULING_CYCLE_MIN_INTERVAL_MS, intervalRatio: SCHEDULING_CYCLE_INTERVAL_RATIO },
       () => this.send({ kind: 'schedulingCycleDue' }),
     );
     this.fleetReviewThrottle = new Throttle(clock, {
       minIntervalMs: FLEET_REVIEW_MIN_INTERVAL_MS,
-      restRatio: FLEET_REVIEW_INTERVAL_RATIO,
+      intervalRatio: FLEET_REVIEW_INTERVAL_RATIO,
     });
     this.components = new LeaderComponents(dependencies, {
       send: (message) => this.send(message),
--- a/src/leader/running-task-counts.ts
+++ b/src/leader/running-task-counts.ts
@@ -32,7 +32,10 @@
     return this.countsByJob[jobUid] ?? 0;
   }
 
-  /** Broadcasts the counts now and then once per interval of the peer heartbeats, while this controller leads. */
+  /**
+   * Broadcasts the counts at once, and again after each peer heartbeat interval. Nothing is sent while this controller
+   * does not lead.
+   */
   start(): void {
     this.broadcast();
     this.dependencies.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
--- a/src/leader/scheduling-cycle.ts
+++ b/src/leader/scheduling-cycle.ts
@@ -41,7 +41,7 @@
   constructor(private readonly dependencies: SchedulingCycleDependencies) {
     this.scaleOutThrottle = new Throttle(dependencies.clock, {
       minIntervalMs: SCALE_OUT_MIN_INTERVAL_MS,
-      restRatio: FLEET_REVIEW_INTERVAL_RATIO,
+      intervalRatio: FLEET_REVIEW_INTERVAL_RATIO,
     });
   }
 
@@ -86,7 +86,10 @@
     return openJobs;
   }
 
-  /** Whether the job waits for jobs that it depends on. A waiting job takes no part in the cycle. */
+  /**
+   * Whether the job waits for jobs that it depends on. A waiting job takes no part in the cycle. A job with a cancelled
+   * dependency is cancelled, and the time at which all dependencies were done is recorded.
+   */
   private isBlockedByDependencies(job: Job): boolean {
     if (!job.hasDependencies || !job.isOpen) return false;
     const status = this.dependencies.jobDependencies.getStatus(job.uid);
@@ -99,8 +102,8 @@
   }
 
   /**
-   * Ends an open job whose pipeline has reached an acceptable end. A job whose pipeline has expired continues with
-   * the successor of the pipeline.
+   * Ends an open job whose pipeline has reached an acceptable end, and stops its tasks. A job whose pipeline has
+   * expired continues with the successor of the pipeline.
    */
   private updateEnding(job: Job): void {
     if (!job.isOpen) return;
--- a/src/leader/term-reconciliation.ts
+++ b/src/leader/term-reconciliation.ts
@@ -38,7 +38,7 @@
    * Called when a lease check has ended. The result comes back through the leader's mailbox to
    * `handleLeaseCheckResult`.
    */
-  readonly onLeaseCheckCompleted: (result: LeaseCheckResult) => void;
+  readonly onLeaseCheckEnded: (result: LeaseCheckResult) => void;
   readonly requestSchedulingCycle: () => void;
 }
 
@@ -127,10 +127,10 @@
     if (this.pendingLeaseChecks.has(node) || this.isLeaseDelegated(node)) return;
     this.pendingLeaseChecks.add(node);
     const { leaseExpiryMs } = node;
-    const { replica, onLeaseCheckCompleted } = this.dependencies;
+    const { replica, onLeaseCheckEnded } = this.dependencies;
     replica.linearizableRead().then(
-      () => onLeaseCheckCompleted({ node, leaseExpiryMs, isConfirmed: true }),
-      () => onLeaseCheckCompleted({ node, leaseExpiryMs, isConfirmed: false }),
+      () => onLeaseCheckEnded({ node, leaseExpiryMs, isConfirmed: true }),
+      () => onLeaseCheckEnded({ node, leaseExpiryMs, isConfirmed: false }),
     );
   }
 
--- a/src/leader/throttled-task.ts
+++ b/src/leader/throttled-task.ts
@@ -1,6 +1,6 @@
 /**
- * Throttles for recurring work. They enforce a minimum interval between runs, and limit the share of processor time
- * that the work takes.
+ * Throttles for recurring work. They enforce a minimum interval between runs, which grows with the duration of the
+ * work and so limits the share of processor time that the work takes.
  */
 import type { Clock } from '@pumicehinge/runtime';
 
@@ -9,7 +9,7 @@
   /** Minimum time in milliseconds between the starts of two runs. */
   readonly minIntervalMs: number;
   /** Minimum time between the starts of two runs, as a multiple of the duration of the first of them. */
-  readonly restRatio: number;
+  readonly intervalRatio: number;
 }
 
 /** Tells whether a piece of work that runs as part of other work may run again. */
@@ -25,7 +25,8 @@
   /** Steady time in ms before which the work may not run again. */
   get earliestNextRunMs(): number {
     return (
-      this.lastStartMs + Math.max(this.options.minIntervalMs, this.lastDurationMs * this.options.restRatio)
+      this.lastStartMs +
+      Math.max(this.options.minIntervalMs, this.lastDurationMs * this.options.intervalRatio)
     );
   }
 
@@ -45,7 +46,8 @@
 
 /**
  * Schedules a piece of work that many events request. All requests between two runs are merged into one run. A slow
- * controller runs the work less often, so that it never takes more than its share of processor time.
+ * controller runs the work less often, so that the work takes only a limited share of processor time. Only a run that
+ * is requested with `requestBy` does not wait for the throttle.
  */
 export class ThrottledTask {
   private readonly throttle: Throttle;
@@ -66,7 +68,7 @@
     this.requestBy(Math.max(this.clock.steadyMs(), this.throttle.earliestNextRunMs));
   }
 
-  /** Requests a run no later than this steady time in ms. */
+  /** Requests a run no later than this steady time in ms, whether or not the throttle allows one by then. */
   requestBy(latestRunMs: number): void {
     if (latestRunMs >= this.scheduledRunMs) return;
     this.cancelTimer?.();
--- a/test/cluster/lease-rules.test.ts
+++ b/test/cluster/lease-rules.test.ts
@@ -42,7 +42,7 @@
     );
 });
 
-test('the verdict on an attempt that is missing from a newer list of its worker', () => {
+test('what a missing attempt proves depends on its state, its start command and the source of the list', () => {
   const baseAttempt: UnlistedAttempt = {
     state: 'sent',
     startSentSequence: 7,
@@ -89,7 +89,7 @@
     assert.equal(classifyHeartbeat(fencingToken, 7, node), freshness);
 });
 
-test('an incarnation that ended although it was answered shows that responses do not arrive', () => {
+test('an incarnation that ended soon after a response to it shows that responses do not reach the worker', () => {
   const lastKnown = { incarnation: 1, sequence: 9 };
   const cases: [incarnation: number, lastResponseMs: number, nowMs: number, hasExpired: boolean][] = [
     [2, 9_000, 10_000, true],
--- a/test/cluster/pending-commands.test.ts
+++ b/test/cluster/pending-commands.test.ts
@@ -22,7 +22,7 @@
   assert.deepEqual(commands, ['stop 8']);
 });
 
-test('an exit is acknowledged only once the completion is stored', () => {
+test('the exit of a completed task is acknowledged only once the completion is stored', () => {
   const { job, reconciler, node, exits } = createClusterWithNode();
   const completed: TaskStatus = { ...createRunningTask(0, 7), state: 'exited', exitCause: 'completed' };
   reconciler.apply(node, createHeartbeat(1, 1, [completed]), 'heartbeat', 0);
--- a/test/leader/job-store.test.ts
+++ b/test/leader/job-store.test.ts
@@ -44,7 +44,7 @@
     maxOperations: 12,
     wallMs: () => 0,
     log: pino({ level: 'silent' }),
-    onWriteCompleted: (result) => store.handleWriteResult(result),
+    onWriteEnded: (result) => store.handleWriteResult(result),
     requestRefresh: (refreshedKey) => refreshedKeys.push(refreshedKey),
     onJobCancelled: () => undefined,
   });
--- a/test/support/cluster-fixture.ts
+++ b/test/support/cluster-fixture.ts
@@ -81,7 +81,7 @@
 export const listCommands = (node: Node) =>
   [...generatePendingCommands(node, () => true)].map(({ command }) => command);
 
-/** Creates the node health of a term that begins at 0 ms, without partitions and delegated leases. */
+/** Creates the node health of a term that begins at 0 ms, without partitions or delegated leases. */
 export function createNodeHealth(
   clusterState: ClusterState,
   options: Pick<NodeHealthDependencies, 'heartbeatIntervalS' | 'findJob'>,
