--- a/packages/duties/src/constants.ts
+++ b/packages/duties/src/constants.ts
@@ -34,7 +34,10 @@
  * role back. A leader that is cut off from the cloud, for example, gives such a role up.
  */
 export const TRANSFER_BACK_DELAY_MS = 60_000;
-/** Delay before the next candidacy after one that another controller won, or whose outcome is unknown. */
+/**
+ * Minimum time before the next candidacy after another candidacy, after a failed request for a lease, or after the
+ * release of a role that a previous process of this controller held.
+ */
 export const CANDIDACY_RETRY_DELAY_MS = 500;
 /** Time for which a lease without roles is kept for the next candidacy. */
 export const IDLE_LEASE_TIMEOUT_MS = 10_000;
@@ -42,7 +45,7 @@
 export const RESIGNATION_COOLDOWN_MS = 10_000;
 /** A role holder whose calls to the cloud have all gone unanswered for this long resigns its role. */
 export const CLOUD_UNRESPONSIVE_TIMEOUT_MS = 12_000;
-/** Delay before the retry of a call to the cloud or of a refused write. */
+/** Delay before the retry of a call to the cloud, a write or a read that did not succeed. */
 export const RETRY_DELAY_MS = 1_000;
 /**
  * Most intents that one role holder executes at the same time. With more than one, a slow call does not hold up the
@@ -66,12 +69,13 @@
 /** Time for which a completed launch intent is kept, so that a new leader learns of its nodes. */
 export const LAUNCH_RETENTION_MS = 30_000;
 /**
- * Time for which the names of terminated nodes are kept. It is longer than for the intents that launched them.
+ * Time for which the names of terminated nodes are kept. It is longer than `LAUNCH_RETENTION_MS`, so that the record of
+ * a node's termination outlives that of its launch.
  */
 export const TERMINATION_RETENTION_MS = 120_000;
 /**
- * Seconds' worth of its share of the cloud's rate limit that a role holder may use in one burst, by the cloud's
- * protocol.
+ * Largest burst of calls of a role holder, in seconds of its share of the cloud's rate limit. The cloud's protocol sets
+ * this value.
  */
 export const CLOUD_BURST_S = 2;
 /** Delay before the actors of a process restart after one of them failed, as the cause may still be present. */
--- a/packages/duties/src/holder-records.ts
+++ b/packages/duties/src/holder-records.ts
@@ -52,7 +52,7 @@
 /**
  * Returns the fencing token that follows the stored one. If the stored token is unreadable, the result follows the
  * revision of its key instead. Every token was written at a revision of its own, so no token issued so far is higher
- * than that.
+ * than that revision.
  */
 export function nextFencingToken(stored: { value: unknown; modRevision: Revision } | undefined): number {
   if (!stored) return 1;
--- a/packages/duties/src/inherited-intents.ts
+++ b/packages/duties/src/inherited-intents.ts
@@ -1,7 +1,9 @@
 /** The intents of earlier terms that a new leader has to respect. */
 import { toLaunchRequest, type InstanceOffering, type Intent, type LaunchRequest } from './intents.js';
 
-/** Intents that earlier terms have irrevocably begun. The leader must make no other decision about their nodes. */
+/**
+ * Intents that earlier terms have irrevocably begun. The leader must make no conflicting decision about their nodes.
+ */
 export interface InheritedIntents {
   /** Launch requests that a role holder is executing. */
   readonly launchesInProgress: LaunchRequest[];
--- a/packages/duties/src/intent-executor.ts
+++ b/packages/duties/src/intent-executor.ts
@@ -50,8 +50,8 @@
 /**
  * Executes the intents of one role while this process holds it. Before each call to the cloud it records the intent as
  * committed, on condition that both the role's fence and the leader's fence still hold. After the call it records the
- * result. A call that is sent late or twice therefore changes nothing: the name of a launch request is never reused,
- * and a node that is to be terminated is never used again.
+ * result. A call that is sent late or twice therefore has no effect beyond that of the committed intent: the name of a
+ * launch request is never reused, and a node that is to be terminated is never used again.
  */
 export class IntentExecutor extends PeriodicActor<Message> {
   private readonly rateLimiter: RateLimiter;
@@ -200,7 +200,7 @@
     this.inFlightKeys.delete(key);
     if (outcome === 'applied') return;
     this.earliestRetryMs.set(key, this.nowMs() + RETRY_DELAY_MS);
-    // Another process changed the record, or the outcome is unknown. Only a new read of the state store can tell.
+    // A condition did not hold, or the outcome is unclear. Only a new read of the state store shows the current state.
     if (outcome !== 'refused') this.caughtUpFencingToken = undefined;
   }
 
@@ -230,7 +230,8 @@
   }
 
   /**
-   * Resigns the role if the cloud is unresponsive. A holder that reaches only the state store would keep it forever.
+   * Resigns the role if the cloud is unresponsive. A holder that reaches only the state store would otherwise keep the
+   * role forever.
    */
   private checkResponsiveness(result: CallResult): void {
     const nowMs = this.nowMs();
--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -62,7 +62,7 @@
   private sequence = 0;
   /** Names of nodes to terminate whose batch window has not ended, by role. */
   private readonly terminationBatches = new Map<TerminationRole, Set<string>>();
-  /** Keys of intents whose completion was reported already, or happened before this term. */
+  /** Keys of intents whose completion was reported already, or happened before this log was created. */
   private readonly notifiedKeys = new Set<string>();
   private readonly unsubscribe: () => void;
 
@@ -174,7 +174,8 @@
   private onWriteEnded(intent: Intent, outcome: CommitOutcome): void {
     if (outcome === 'applied') return;
     if (outcome === 'refused') return this.scheduleRetry(intent);
-    // A conflict means that the term is over, or that an earlier attempt was applied late. Only a read can tell which.
+    // A conflict means that the term is over, that an earlier attempt was applied late, or that the role has changed
+    // hands. If the outcome is unclear, the write itself may have been applied. Only a read can tell.
     this.options.store.linearizableRead().then(
       () => {
         if (!this.options.intentIndex.get(intentKey(intent.id)) && this.isTermCurrent())
--- a/packages/duties/src/intent-records.ts
+++ b/packages/duties/src/intent-records.ts
@@ -8,7 +8,7 @@
 /** Common prefix of the keys of all intents. */
 export const INTENT_KEY_PREFIX = 'ph/duty-order/';
 
-/** Version of the stored form. A reader ignores intents of a higher version than it knows. */
+/** Version of the stored form. A reader ignores intents of any other version. */
 const INTENT_FORMAT_VERSION = 1;
 
 const STORED_STATES: Readonly<Record<IntentState, string>> = {
--- a/packages/duties/src/intents.ts
+++ b/packages/duties/src/intents.ts
@@ -34,7 +34,7 @@
   /** The role whose holder executes the intent. */
   readonly role: IntentRole;
   readonly state: IntentState;
-  /** Fencing token of the role holder that wrote the intent last, or 0 if only the leader has written it. */
+  /** Fencing token of the role holder that wrote the intent last, or 0 if no role holder has written it. */
   readonly fencingToken: number;
 }
 
--- a/packages/duties/src/lease-authority.ts
+++ b/packages/duties/src/lease-authority.ts
@@ -32,7 +32,7 @@
 
   /**
    * Records that the lease was granted or renewed. This also restores an expired authority, as the lease itself is
-   * alive.
+   * alive. It has no effect if the clock was observed to go backwards after the start of the request.
    */
   confirmRenewal({ requestedMs, clockRegressionCount }: LeaseRenewal, ttlMs: number, nowMs: number): void {
     this.observeClock(nowMs);
--- a/packages/duties/src/leased-roles.ts
+++ b/packages/duties/src/leased-roles.ts
@@ -17,7 +17,7 @@
   readonly store: RoleStore;
   readonly cloudProvider: CloudProvider;
   readonly currentLeader: () => CurrentLeader | undefined;
-  /** Finds at most `limit` records other than intents that nobody reads any more. */
+  /** Finds at most `limit` obsolete records other than intents. */
   readonly findObsoleteRecords: (limit: number) => ObsoleteRecord[];
   /** Limit of puts and deletes in one transaction of the state store. */
   readonly maxTransactionOperations: number;
--- a/packages/duties/src/record-garbage-collector.ts
+++ b/packages/duties/src/record-garbage-collector.ts
@@ -40,8 +40,9 @@
 }
 
 /**
- * Deletes obsolete intents and other records, a few at a time, while this process holds the role. Each delete depends
- * on the role's fence and on the revision of its record, so a delete that is applied late does nothing.
+ * Deletes obsolete intents and other records, a few at a time, while this process holds the role `cleanup`. Each delete
+ * depends on the role's fence and on the revision of its record, so a delete that is applied late never removes a newer
+ * value.
  */
 export class RecordGarbageCollector extends PeriodicActor<CollectionEnded> {
   /** Time of the steady clock at which each obsolete intent was first seen to be obsolete, by key. */
--- a/packages/duties/src/role-acquisition.ts
+++ b/packages/duties/src/role-acquisition.ts
@@ -26,8 +26,8 @@
 }
 
 /**
- * Builds a transaction that writes the holder's key and the next fencing token, if nobody holds the role or issues that
- * token.
+ * Builds a transaction that writes the holder's key and the next fencing token, on condition that nobody holds the role
+ * and the stored token has not changed.
  */
 export function buildRoleAcquisition(
   store: Pick<RoleStore, 'get'>,
--- a/packages/duties/src/role-leases.ts
+++ b/packages/duties/src/role-leases.ts
@@ -21,7 +21,7 @@
 export interface RoleGrant {
   readonly role: Role;
   readonly fencingToken: number;
-  /** Condition of every write of the holder. It fails once another process holds the role. */
+  /** Condition of every write of the holder. It fails once this process no longer holds the role. */
   readonly fence: Condition;
 }
 
--- a/packages/duties/src/roles.ts
+++ b/packages/duties/src/roles.ts
@@ -1,4 +1,4 @@
-/** The leased roles. Each is held by at most one controller at a time, by a lease of the state store. */
+/** The leased roles. Each is held by at most one controller at a time, on the basis of a lease of the state store. */
 
 /** All roles, in the order in which they are checked. Stored keys and values contain these names. */
 export const ROLES = ['rent', 'return', 'reclaim', 'cleanup'] as const;
--- a/src/duties/http-cloud-provider.ts
+++ b/src/duties/http-cloud-provider.ts
@@ -20,7 +20,7 @@
     private readonly address: string,
   ) {}
 
-  /** Launches nodes. Never rejects. The result is unknown if there is no answer. */
+  /** Launches nodes. Never rejects. The result is unknown if there is no conclusive answer. */
   async launch(request: LaunchRequest): Promise<LaunchResult> {
     const response = await this.post(LAUNCH_TARGET, encodeLaunch(request));
     if (response?.status === 200) return decodeLaunchResult(response.body, request.nodeCount);
@@ -29,7 +29,7 @@
     return { kind: 'unknown', isAnswered: response !== undefined };
   }
 
-  /** Terminates nodes. Never rejects. The result is unknown if there is no answer. */
+  /** Terminates nodes. Never rejects. The result is unknown if there is no conclusive answer. */
   async terminate(names: string[]): Promise<TerminationResult> {
     const response = await this.post(TERMINATE_TARGET, encodeTermination(names));
     return response?.status === 200
--- a/src/state/key-value-index.ts
+++ b/src/state/key-value-index.ts
@@ -61,5 +61,8 @@
   }
 }
 
-/** Returns the part of a key up to its second slash, which identifies the kind of record. */
+/**
+ * Returns the part of a key up to its second slash, which identifies the kind of record. The result is empty if the key
+ * has no second slash.
+ */
 const getKeyKind = (key: string): string => key.slice(0, key.indexOf('/', key.indexOf('/') + 1) + 1);
--- a/src/state/records.ts
+++ b/src/state/records.ts
@@ -1,4 +1,4 @@
-/** The records in the state store, with their keys and stored forms. No other module depends on those. */
+/** The records in the state store, with their keys. Only the modules listed here know the stored field names. */
 export * from './records/completion-segments.js';
 export * from './records/delegated-leases.js';
 export * from './records/dependency-list.js';
--- a/src/state/records/dependency-list.ts
+++ b/src/state/records/dependency-list.ts
@@ -10,7 +10,7 @@
 /** The phase and the dependencies of a job. */
 export interface JobDependencies {
   readonly phase: JobPhase;
-  /** Uids of the jobs that it depends on, or undefined if a part of the list is not available yet. */
+  /** Uids of the jobs that it depends on, or undefined if a part of the list is missing or malformed. */
   readonly dependencies: readonly string[] | undefined;
 }
 
--- a/src/state/records/instance-types.ts
+++ b/src/state/records/instance-types.ts
@@ -1,5 +1,6 @@
 /**
- * The stored form of the instance types that the cloud offers. It is a list whose fields have the names of the code.
+ * The stored form of the instance types that the cloud offers. It is a list of objects whose fields have the names of
+ * the code.
  */
 import { isJsonObject } from '../../wire/json.js';
 
@@ -25,7 +26,10 @@
   readonly zones: readonly string[];
 }
 
-/** Decodes the instance types. Malformed entries are skipped. */
+/**
+ * Decodes the instance types. An entry with a missing or malformed name, resource, boot time or zone is skipped. The
+ * other fields are not checked.
+ */
 export function decodeInstanceTypes(value: unknown): InstanceType[] {
   return Array.isArray(value) ? value.filter(isInstanceType) : [];
 }
--- a/src/state/records/keys.ts
+++ b/src/state/records/keys.ts
@@ -46,8 +46,8 @@
 export const nodeGroupKey = (name: string): string => NODE_GROUPS_PREFIX + name;
 
 /**
- * Returns the key of a batch of leases that `member` renews. With an empty batch it is the prefix of all batches of
- * `member`.
+ * Returns the key of a batch of node leases that the controller `member` renews. If `batch` is empty, the result is the
+ * prefix of the keys of all batches of that controller.
  */
 export const delegatedLeasesKey = (member: string, batch: string): string =>
   `${DELEGATED_LEASES_PREFIX}${member}/${batch}`;
--- a/src/state/records/node-group.ts
+++ b/src/state/records/node-group.ts
@@ -33,7 +33,7 @@
 }
 
 /**
- * Whether a stored group contains a node. The group is not decoded, as each heartbeat makes this check in a partition.
+ * Whether a stored group contains a node. The group is not decoded, as in a partition each heartbeat needs this check.
  */
 export function nodeGroupContains(value: unknown, nodeName: string): boolean {
   return isJsonObject(value) && isJsonObject(value.m) && Object.hasOwn(value.m, nodeName);
--- a/src/state/state-replica.ts
+++ b/src/state/state-replica.ts
@@ -74,7 +74,7 @@
     this.syncListeners.push(listener);
   }
 
-  /** The revision of the store up to which the replica is complete. Single keys may be newer. */
+  /** The revision of the store up to which the replica is complete. Some keys may be newer. */
   get syncedRevision(): WireInt {
     return this.revision;
   }
@@ -178,7 +178,8 @@
       if (!listedKeyValues.has(key) && current.modRevision <= revision)
         this.apply({ key, value: undefined, modRevision: revision });
     }
-    // The oldest changes are applied first, because the log of cancellations drops the entries that came first.
+    // The oldest changes are applied first, because a change listener fills the log of cancellations, which drops the
+    // entries that came first.
     for (const keyValue of [...listedKeyValues.values()].sort(compareRevisions)) {
       if (this.index.get(keyValue.key)?.modRevision !== keyValue.modRevision) this.apply(keyValue);
     }
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -86,8 +86,8 @@
 
   /**
    * Sets the share of the rate limits for a leader or a follower. The leader makes nearly all writes, so a part of each
-   * limit is reserved for the leader and the rest is split evenly. A new leader has no accumulated budget, so all
-   * controllers together stay within the limits during a change of leader.
+   * limit is reserved for the leader and the rest is split evenly. A new leader keeps only the budget that
+   * it accumulated as a follower, so all controllers together stay within the limits during a change of leader.
    */
   setIsLeader(isLeading: boolean): void {
     const { limits, controllerCount } = this.options;
@@ -110,7 +110,7 @@
     return this.failingSinceMs < Infinity;
   }
 
-  /** Whether the store probably serves this controller. A single lost call does not count as a failure. */
+  /** Whether the store probably serves this controller. Failures within `STATE_UNAVAILABLE_AFTER_MS` are tolerated. */
   get isStoreAvailable(): boolean {
     const nowMs = this.options.clock.steadyMs();
     if (nowMs - this.failingSinceMs > STATE_UNAVAILABLE_AFTER_MS) return false;
@@ -183,7 +183,7 @@
     throw storeErrorForStatus(status);
   }
 
-  /** Revokes a lease. The answer of the store is ignored. Rejects with an HttpCallError if the store can't be reached. */
+  /** Revokes a lease. Ignores the store's answer. Rejects with an HttpCallError if the store can't be reached. */
   async revokeLease(leaseId: WireInt): Promise<void> {
     await this.request({
       method: 'DELETE',
--- a/src/state/store-codec.ts
+++ b/src/state/store-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The wire format of the state store: paths, request bodies and responses. No other module depends on its field names.
- * In the wire format, `stamp` is the `modRevision` of a key, `epoch` is the revision of the store, and `hold` is a
- * lease.
+ * The wire format of the state store: paths, request bodies and responses. No other module depends on its field names,
+ * except for the size estimate in write-batch.ts. In the wire format, `stamp` is the `modRevision` of a key, `epoch` is
+ * the revision of the store, and `hold` is a lease.
  */
 import type { HttpResponse } from '../http/message.js';
 import { formatJson, isJsonObject, isWireInt, parseJson, type WireInt } from '../wire/json.js';
@@ -57,7 +57,7 @@
   return { put: key, v: value, ...(leaseId === undefined ? {} : { hold: leaseId }) };
 }
 
-/** Decodes a page of keys. Throws a MalformedResponseError if a field is missing or malformed. */
+/** Decodes a page of keys. Throws a MalformedResponseError if a revision is missing or malformed. */
 export function decodePage(responseBody: string): KeyPage {
   const body = parseBody(responseBody);
   const rows = Array.isArray(body.rows) ? body.rows : [];
@@ -72,7 +72,7 @@
   return { key: String(row.key), value: row.v, modRevision: requireWireInt(row, 'stamp') };
 }
 
-/** Decodes the changes that a watch reports. Throws a MalformedResponseError if a field is missing or malformed. */
+/** Decodes the changes that a watch reports. Throws a MalformedResponseError if a revision is missing or malformed. */
 export function decodeChanges(responseBody: string): KeyChanges {
   const body = parseBody(responseBody);
   const log = Array.isArray(body.log) ? body.log : [];
@@ -91,7 +91,7 @@
 /** Decodes the id of a granted lease. Throws a MalformedResponseError if it is missing or malformed. */
 export const decodeLease = (responseBody: string): WireInt => requireWireInt(parseBody(responseBody), 'hold');
 
-/** Decodes the result of a transaction. Throws a MalformedResponseError if a field is missing or malformed. */
+/** Decodes the result of a transaction. Throws a MalformedResponseError if the revision is missing or malformed. */
 export function decodeTransactionResult({ status, body: responseBody }: HttpResponse): TransactionResult {
   const body = parseBody(responseBody);
   switch (status) {
--- a/src/state/store-error.ts
+++ b/src/state/store-error.ts
@@ -4,7 +4,7 @@
 export class StoreError extends Error {
   override readonly name: string = 'StoreError';
 
-  /** `status` is the HTTP status of the response, or 0 if the response is malformed. */
+  /** `status` is the HTTP status of the response, 0 if it is malformed, or 503 if the replica is not loaded. */
   constructor(
     readonly status: number,
     message = `state store responded with HTTP status ${status}`,
--- a/src/state/transaction-batcher.ts
+++ b/src/state/transaction-batcher.ts
@@ -6,7 +6,7 @@
 import type { Condition, Operation } from './key-value.js';
 import type { StateReplica } from './state-replica.js';
 import type { StoreClient } from './store-client.js';
-import { measureTransactionBytes, WriteBatch, type CommitResult, type PendingWrite } from './write-batch.js';
+import { estimateWriteBytes, WriteBatch, type CommitResult, type PendingWrite } from './write-batch.js';
 
 export type { CommitResult } from './write-batch.js';
 
@@ -17,7 +17,8 @@
 
 /**
  * Sends all writes of a controller, one transaction at a time. Writes that arrive during a transaction are sent
- * together in the next one. Every write is conditional, because a transaction without a response may be executed late.
+ * together in the next one. Callers make every write conditional, because a transaction without a response may be
+ * executed late.
  */
 export class TransactionBatcher {
   private queue: PendingWrite[] = [];
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Writes like `commit`, for a user who waits for the result. The write is sent before the writes of the leader, and
-   * is refused at once when the store is unavailable.
+   * Writes like `commit`, for a user who waits for the result. The write is sent before all writes that no user waits
+   * for, and is refused without a retry when the store is unavailable.
    */
   commitForUser(
     conditions: readonly Condition[],
@@ -66,10 +67,10 @@
         resolve({ outcome: 'refused' });
         return;
       }
-      const bytes = measureTransactionBytes(conditions, operations);
+      const bytes = estimateWriteBytes(conditions, operations);
       const deadlineMs = this.clock.steadyMs() + timeoutMs;
-      const firstLeaderWriteIndex = isForUser ? this.queue.findIndex((write) => !write.isForUser) : -1;
-      const position = firstLeaderWriteIndex < 0 ? this.queue.length : firstLeaderWriteIndex;
+      const firstNonUserWriteIndex = isForUser ? this.queue.findIndex((write) => !write.isForUser) : -1;
+      const position = firstNonUserWriteIndex < 0 ? this.queue.length : firstNonUserWriteIndex;
       this.queue.splice(position, 0, { conditions, operations, bytes, deadlineMs, isForUser, resolve });
       if (!this.isSending) void this.sendQueue();
     });
@@ -121,7 +122,8 @@
           return;
         }
         this.queue.unshift(...batch);
-        // Users don't wait for the store during an outage. They are told when to retry instead.
+        // Users don't wait for the store during an outage. They are told when to retry instead. Status 429 means only
+        // that a rate limit was exceeded.
         if (result.status !== 429) this.refuseUserWrites();
         await sleep(this.clock, STATE_RETRY_DELAY_MS);
         return;
--- a/src/state/write-batch.ts
+++ b/src/state/write-batch.ts
@@ -8,8 +8,8 @@
   | { readonly outcome: 'applied'; readonly revision: WireInt }
   | { readonly outcome: 'conflict' }
   /**
-   * The write was not executed, because the store did not accept it in time or the queue was full. If `malformed` is
-   * true, the store will never accept it.
+   * The write was not executed, because the store did not accept it in time, the queue was full, or, for a user's
+   * write, the store was unavailable. If `isMalformed` is true, the store will never accept it.
    */
   | { readonly outcome: 'refused'; readonly isMalformed?: boolean }
   /** The write may have been executed, or may be executed later. Only a new read of its keys can tell. */
@@ -19,11 +19,11 @@
 export interface PendingWrite {
   readonly conditions: readonly Condition[];
   readonly operations: readonly Operation[];
-  /** Size of the write's part of the transaction. */
+  /** Estimated size of the write's part of the transaction. */
   readonly bytes: number;
   /** Time of the steady clock after which the write is refused if it has not been sent. */
   readonly deadlineMs: number;
-  /** Whether a user waits for the write. It is then sent before the leader's writes, and refused during an outage. */
+  /** Whether a user waits for the write. It is then sent before all other writes, and refused during an outage. */
   readonly isForUser: boolean;
   readonly resolve: (result: CommitResult) => void;
 }
@@ -79,8 +79,12 @@
 /** The store accepts this many conditions per transaction for each operation that it accepts. */
 const MAX_CONDITIONS_PER_OPERATION = 4;
 
-/** Returns the length of a write's part of a transaction as JSON, with field names as long as in the wire format. */
-export function measureTransactionBytes(
+/**
+ * Estimates the size of a write's part of a transaction, as the number of characters of its JSON text. Conditions and
+ * leases have the field names of the wire format. The other field names of an operation differ from those by a few
+ * characters.
+ */
+export function estimateWriteBytes(
   conditions: readonly Condition[],
   operations: readonly Operation[],
 ): number {
--- a/test/duties/failure-cases.test.ts
+++ b/test/duties/failure-cases.test.ts
@@ -80,7 +80,7 @@
     },
   },
   {
-    name: 'a holder that is cut off from the cloud resigns its role to another',
+    name: 'a holder that is cut off from the cloud resigns its role, and another controller launches the nodes',
     run: async (cluster) => {
       const holder = requireHolder(cluster, 'rent');
       cluster.partitionedFromCloud.add(holder);
@@ -145,7 +145,7 @@
     },
   },
   {
-    name: 'three of five crash within a second',
+    name: 'three of five controllers crash within a second',
     members: FIVE_CONTROLLERS,
     run: async (cluster) => {
       cluster.targetNodes = 3;
--- a/test/duties/interleavings.test.ts
+++ b/test/duties/interleavings.test.ts
@@ -163,7 +163,7 @@
   };
 }
 
-test('with pauses, crashes, lost and late messages, only committed intents take effect, and only by their holder', async (context) => {
+test('with pauses, crashes, lost and late messages, only committed intents take effect, and replaced holders write nothing', async (context) => {
   let lateCallsWithoutEffect = 0;
   let lateCallsAsCommitted = 0;
   await fc.assert(
--- a/test/duties/lease-authority.test.ts
+++ b/test/duties/lease-authority.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import { ClockCheckedLeaseAuthority } from '@pumicehinge/duties';
 
-test('the authority counts from before the request, is reduced by drift and margin, and ends if the clock goes backwards', () => {
+test('lease authority: it lasts for the time to live from the start of the request, less clock drift and safety margin, and ends if the clock goes backwards', () => {
   const TTL_MS = 4_000;
   type LeaseAction = ['request' | 'confirm', atMs: number] | ['check', atMs: number, expected: boolean];
   const cases: [name: string, ...steps: LeaseAction[]][] = [
--- a/test/duties/model-leader.ts
+++ b/test/duties/model-leader.ts
@@ -19,7 +19,7 @@
   readTargetNodes: () => number;
 }
 
-/** Keeps the wanted number of nodes, and considers every node that it knows of usable. */
+/** Keeps the wanted number of nodes, and considers every known node usable until it requests its termination. */
 export class ModelLeader {
   readonly usableNodes: Set<string>;
   /** Number of nodes that each launch in progress requests, by name of the request. */
--- a/test/duties/model-process.ts
+++ b/test/duties/model-process.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@pumicehinge/runtime';
 import { ProcessClock, type SimulatedClock } from '@pumicehinge/runtime/simulated-clock';
 
-/** A process with its own clock. Actions that arrive while it is paused are deferred, so it can't notice the pause. */
+/** A process with its own clock. Actions that arrive while it is paused are deferred until it resumes. */
 export class ModelProcess {
   readonly clock: ProcessClock;
   private isPaused = false;
--- a/test/duties/scenarios.test.ts
+++ b/test/duties/scenarios.test.ts
@@ -24,19 +24,19 @@
 const ALL_CONTROLLERS = ['c0', 'c1', 'c2'];
 
 /** Submits jobs, and returns those that must be over at the end. */
-function submitJobs(day: SimulatedDeployment): SimulatedJob[] {
+function submitJobs(deployment: SimulatedDeployment): SimulatedJob[] {
   const jobsThatMustEnd: SimulatedJob[] = [];
-  day.at(2, () => day.submit({ kind: 'service', team: 'red', tasks: 3, zoneSpread: true }));
+  deployment.at(2, () => deployment.submit({ kind: 'service', team: 'red', tasks: 3, zoneSpread: true }));
   for (let i = 0; i < 12; i++)
-    day.at(5 + i * 11, () =>
-      jobsThatMustEnd.push(day.submit({ tasks: 1 + ((i * 5) % 13), runS: 8 + i, spot: i % 2 === 0 })),
+    deployment.at(5 + i * 11, () =>
+      jobsThatMustEnd.push(deployment.submit({ tasks: 1 + ((i * 5) % 13), runS: 8 + i, spot: i % 2 === 0 })),
     );
-  day.at(20, () => day.submit({ team: 'red', tasks: 6, runS: 60 }, 15));
+  deployment.at(20, () => deployment.submit({ team: 'red', tasks: 6, runS: 60 }, 15));
   return jobsThatMustEnd;
 }
 
-const readHolder = (day: SimulatedDeployment, role: Role): string | undefined =>
-  (day.state.getValue(roleHolderKey(role)) as { member: string } | undefined)?.member;
+const readHolder = (deployment: SimulatedDeployment, role: Role): string | undefined =>
+  (deployment.state.getValue(roleHolderKey(role)) as { member: string } | undefined)?.member;
 
 /**
  * The faults of each scenario, with the second at which they are injected. Every rule must hold, and every array must
@@ -45,95 +45,101 @@
 const SCENARIOS: {
   name: string;
   options?: Partial<DeploymentOptions>;
-  injectFaults: (day: SimulatedDeployment) => void;
+  injectFaults: (deployment: SimulatedDeployment) => void;
 }[] = [
   { name: 'no fault', injectFaults: () => undefined },
   {
     name: 'the holder of the scale-out role is paused for longer than its lease several times',
-    injectFaults: (day) =>
+    injectFaults: (deployment) =>
       [25, 45, 65, 85].forEach((s) =>
-        day.at(s, () => day.pauseController(readHolder(day, 'rent') ?? 'c0', 9000)),
+        deployment.at(s, () => deployment.pauseController(readHolder(deployment, 'rent') ?? 'c0', 9000)),
       ),
   },
   {
     name: 'leader and role holders crash together',
-    injectFaults: (day) =>
+    injectFaults: (deployment) =>
       [30, 60, 90].forEach((s) =>
-        day.at(s, () => {
-          const members = new Set([day.leader, readHolder(day, 'rent'), readHolder(day, 'return')]);
-          for (const member of members) if (member) day.crashController(member, 3000);
+        deployment.at(s, () => {
+          const members = new Set([
+            deployment.leader,
+            readHolder(deployment, 'rent'),
+            readHolder(deployment, 'return'),
+          ]);
+          for (const member of members) if (member) deployment.crashController(member, 3000);
         }),
       ),
   },
   {
     name: 'all controllers crash, and again during the election',
-    injectFaults: (day) =>
-      [40, 46.5].forEach((s) => day.at(s, () => ALL_CONTROLLERS.forEach((c) => day.crashController(c, 300)))),
+    injectFaults: (deployment) =>
+      [40, 46.5].forEach((s) =>
+        deployment.at(s, () => ALL_CONTROLLERS.forEach((c) => deployment.crashController(c, 300))),
+      ),
   },
   {
     name: 'the state service is down for longer than a lease, and then the cloud',
-    injectFaults: (day) => {
-      day.at(40, () => day.state.refusedCallers.add('*'));
-      day.at(58, () => day.state.endOutage());
-      day.at(70, () => (day.cloud.isDown = true));
-      day.at(95, () => (day.cloud.isDown = false));
+    injectFaults: (deployment) => {
+      deployment.at(40, () => deployment.state.refusedCallers.add('*'));
+      deployment.at(58, () => deployment.state.endOutage());
+      deployment.at(70, () => (deployment.cloud.isDown = true));
+      deployment.at(95, () => (deployment.cloud.isDown = false));
     },
   },
   {
     name: 'transactions are executed late',
-    injectFaults: (day) => {
-      day.at(20, () => (day.state.delayedTransactionShare = 0.3));
-      day.at(90, () => (day.state.delayedTransactionShare = 0));
+    injectFaults: (deployment) => {
+      deployment.at(20, () => (deployment.state.delayedTransactionShare = 0.3));
+      deployment.at(90, () => (deployment.state.delayedTransactionShare = 0));
     },
   },
   {
     name: 'a controller without leased roles leads for a while',
     options: { roleMembers: ['c0', 'c1'] },
-    injectFaults: (day) => {
+    injectFaults: (deployment) => {
       // Only c2 can lead now, while launches and terminations are in progress.
-      day.at(14, () => ['c0', 'c1'].forEach((c) => day.crashController(c, 9000)));
-      day.at(70, () => day.crashController('c2', 5000));
-      day.at(100, () => ['c0', 'c1'].forEach((c) => day.crashController(c, 9000)));
-      day.at(150, () => day.crashController('c2', 12_000));
+      deployment.at(14, () => ['c0', 'c1'].forEach((c) => deployment.crashController(c, 9000)));
+      deployment.at(70, () => deployment.crashController('c2', 5000));
+      deployment.at(100, () => ['c0', 'c1'].forEach((c) => deployment.crashController(c, 9000)));
+      deployment.at(150, () => deployment.crashController('c2', 12_000));
     },
   },
 ];
 
 for (const [i, { name, options, injectFaults }] of SCENARIOS.entries())
   test(`leased roles on: ${name}`, async () => {
-    const day = new SimulatedDeployment(61 + i, {
+    const deployment = new SimulatedDeployment(61 + i, {
       controllers: 3,
       machineCapacity: 24,
       cpuLimitScale: 1,
       roleMembers: ALL_CONTROLLERS,
       ...options,
     });
-    const mustEnd = submitJobs(day);
-    injectFaults(day);
-    day.faultsEndMs = 120_000;
-    await day.clock.runUntil(SCENARIO_S * 1000);
-    assert.deepEqual(day.rules.violations, []);
+    const mustEnd = submitJobs(deployment);
+    injectFaults(deployment);
+    deployment.faultsEndMs = 120_000;
+    await deployment.clock.runUntil(SCENARIO_S * 1000);
+    assert.deepEqual(deployment.rules.violations, []);
     assert.deepEqual(
-      mustEnd.filter((job) => !day.isFinished(job)).map((job) => job.uid),
+      mustEnd.filter((job) => !deployment.isFinished(job)).map((job) => job.uid),
       [],
     );
-    assert.ok(day.cloud.rentedCount > 0 && readHolder(day, 'rent') !== undefined);
+    assert.ok(deployment.cloud.rentedCount > 0 && readHolder(deployment, 'rent') !== undefined);
   });
 
 test('a node causes few writes over its lifetime, and its intents are deleted', async () => {
-  const day = new SimulatedDeployment(77, {
+  const deployment = new SimulatedDeployment(77, {
     controllers: 3,
     machineCapacity: 24,
     cpuLimitScale: 4,
     roleMembers: ALL_CONTROLLERS,
   });
-  for (let i = 0; i < 4; i++) day.at(3 + i * 60, () => day.submit({ tasks: 30, runS: 10 }));
-  await day.clock.runUntil(480_000);
-  assert.ok(day.cloud.rentedCount >= 20, `only ${day.cloud.rentedCount} nodes were launched`);
-  const intents = day.state.listKeys(INTENT_KEY_PREFIX);
+  for (let i = 0; i < 4; i++) deployment.at(3 + i * 60, () => deployment.submit({ tasks: 30, runS: 10 }));
+  await deployment.clock.runUntil(480_000);
+  assert.ok(deployment.cloud.rentedCount >= 20, `only ${deployment.cloud.rentedCount} nodes were launched`);
+  const intents = deployment.state.listKeys(INTENT_KEY_PREFIX);
   assert.ok(intents.length <= 12, `${intents.length} intents left`);
   // Each intent is requested, committed, completed and deleted, and most intents concern several nodes.
-  assert.ok(day.state.countChanges(INTENT_KEY_PREFIX) <= 4 * day.cloud.rentedCount);
+  assert.ok(deployment.state.countChanges(INTENT_KEY_PREFIX) <= 4 * deployment.cloud.rentedCount);
 });
 
 test('with leased roles off, the leader record is the same as that of the version in production', () => {
@@ -194,7 +200,7 @@
   for (const { conditions } of findObsoleteRecords(replica, 100)) assert.equal(conditions.length, 1);
 });
 
-test('an answer of the cloud that does not match its request is rejected', async () => {
+test('an answer of the cloud that does not match its request counts as a refusal, and an inconclusive or missing one as unknown', async () => {
   const cases: [status: number, body: string, kind: string][] = [
     [200, '{"hearths":["vm-1","vm-2"]}', 'launched'],
     [200, '{"hearths":[]}', 'launched'],
--- a/test/state/transaction-batcher.test.ts
+++ b/test/state/transaction-batcher.test.ts
@@ -26,7 +26,7 @@
   return { clock, writtenKeys, batcher };
 }
 
-test('batcher: in an outage a write for a user is refused at once, and a write of the leader waits', async () => {
+test('batcher: in an outage a write for a user is refused at once, and any other write waits', async () => {
   const cases: [result: TransactionResult, expectedUserOutcome: string][] = [
     [{ outcome: 'refused', status: 503 }, 'refused'],
     [{ outcome: 'refused', status: 429 }, 'waits'],
@@ -45,7 +45,7 @@
   }
 });
 
-test('batcher: writes for users are sent before those of the leader', async () => {
+test('batcher: writes for users are sent before all other writes', async () => {
   const { clock, writtenKeys, batcher } = setUp(() => ({ outcome: 'applied', revision: 1 }));
   for (const key of ['l1', 'l2']) void batcher.commit([], [{ key, value: 1 }], 5_000);
   for (const key of ['u1', 'u2']) void batcher.commitForUser([], [{ key, value: 1 }], 5_000);
--- a/test/state/write-batch.test.ts
+++ b/test/state/write-batch.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_TXN_BYTES } from '../../src/constants.js';
-import { measureTransactionBytes, WriteBatch, type PendingWrite } from '../../src/state/write-batch.js';
+import { estimateWriteBytes, WriteBatch, type PendingWrite } from '../../src/state/write-batch.js';
 
 function createWrite(fields: Partial<PendingWrite>): PendingWrite {
   return {
@@ -66,7 +66,7 @@
   }
 });
 
-test('write batch: the length of a write is that of its JSON with the field names of the wire format', () => {
+test('write batch: the estimated size of a write is the length of its JSON, with `stamp` and `hold` as on the wire', () => {
   const conditions = [{ key: 'ph/leader', modRevision: 2n ** 63n }];
   const operations = [
     { key: 'a', value: { n: 1 }, leaseId: 7 },
@@ -74,5 +74,5 @@
   ];
   const text =
     '[[{"key":"ph/leader","stamp":9223372036854775808}],[{"key":"a","value":{"n":1},"hold":7},{"key":"b"}]]';
-  assert.equal(measureTransactionBytes(conditions, operations), text.length);
+  assert.equal(estimateWriteBytes(conditions, operations), text.length);
 });
