--- a/packages/runtime/src/actor.ts
+++ b/packages/runtime/src/actor.ts
@@ -16,7 +16,10 @@
     private readonly onFailure?: (error: unknown) => void,
   ) {}
 
-  /** Handles the message immediately, or after the messages in the mailbox. A stopped actor ignores it. Never throws. */
+  /**
+   * Handles the message immediately, or after the messages in the mailbox. A stopped actor ignores it. An error in the
+   * handler is not thrown to the caller.
+   */
   send(message: Message): void {
     if (this.hasStopped) return;
     this.mailbox.push(message);
@@ -25,7 +28,7 @@
     try {
       this.drainMailbox();
     } catch (error) {
-      // An error in one handler must not terminate the process. The owner creates a new actor from the state store.
+      // An error in one handler must not terminate the process. An owner that passed `onFailure` can replace the actor.
       this.log.error({ err: error }, 'actor stopped after an error in its message handler');
       this.stop();
       this.onFailure?.(error);
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,10 +1,10 @@
-/** The clock interface. Clocks are passed in as dependencies, so that a simulation can run a day in a second. */
+/** The clock interface. Clocks are passed in as dependencies, so that a simulation does not wait for real time to pass. */
 
 /** A source of time and timers. */
 export interface Clock {
   /** Returns the time of the steady (monotonic) clock in milliseconds, counted from an arbitrary start. */
   steadyMs(): number;
-  /** Returns the time of day in milliseconds since 1970. Its error is at most the bound in the settings. */
+  /** Returns the time of day in milliseconds since 1970. It can jump when the system clock is adjusted. */
   wallMs(): number;
   /** Calls `callback` once after `delayMs` milliseconds. Returns a function that cancels the timer. */
   setTimer(delayMs: number, callback: () => void): () => void;
--- a/packages/runtime/src/lease-authority.ts
+++ b/packages/runtime/src/lease-authority.ts
@@ -7,14 +7,14 @@
    * depends on it.
    */
   readonly safetyMarginMs: number;
-  /** Ratio by which the rates of the local steady clock and of the granting side's clock may differ. */
+  /** Maximum ratio by which the rates of the local steady clock and of the granting side's clock differ. */
   readonly maxClockDriftRatio: number;
 }
 
 /**
- * Tracks until when a lease that this process holds has certainly not expired. The class reads no clock: all times are
- * passed in, in milliseconds of the local steady clock. A renewal counts from the time just before it was requested, because
- * the granting side cannot have started the lease any earlier.
+ * Tracks until when this process is certainly the only one that acts as the holder of a lease. The class reads no clock: all
+ * times are passed in, in milliseconds of the local steady clock. A renewal counts from the time just before it was
+ * requested, because the granting side cannot have started the lease any earlier.
  */
 export class LeaseAuthority {
   private validUntilMs = -Infinity;
@@ -23,8 +23,8 @@
   constructor(private readonly options: LeaseAuthorityOptions) {}
 
   /**
-   * Records that the lease was granted or renewed. This also revives an expired authority, because the lease itself did not
-   * expire.
+   * Records that the lease was granted or renewed. This also revives an expired authority, because the lease itself had not
+   * expired.
    */
   renew(requestedAtMs: number, ttlMs: number): void {
     const usableTtlMs = ttlMs * (1 - this.options.maxClockDriftRatio);
@@ -32,8 +32,9 @@
   }
 
   /**
-   * Extends the authority by a guarantee other than the lease, valid for `extensionMs` from the request. It never revives an
-   * expired authority: another process could have held the lease in the gap, and the guarantee does not rule that out.
+   * Extends the authority by a guarantee other than the lease, valid for `extensionMs` from the request. An extension never
+   * revives an expired authority: another process could have held the lease in the gap, and the guarantee does not rule that
+   * out.
    */
   extend(requestedAtMs: number, extensionMs: number, nowMs: number): void {
     if (nowMs < this.validUntilMs) this.renew(requestedAtMs, extensionMs);
@@ -44,7 +45,7 @@
     this.validUntilMs = -Infinity;
   }
 
-  /** Whether the lease is certainly still held. Check this immediately before each action that depends on the lease. */
+  /** Whether this process may act as the holder. Check this immediately before each action that depends on the lease. */
   isValid(nowMs: number): boolean {
     return nowMs < this.validUntilMs - this.options.safetyMarginMs;
   }
--- a/packages/runtime/src/periodic-actor.ts
+++ b/packages/runtime/src/periodic-actor.ts
@@ -4,8 +4,8 @@
 import type { Clock } from './clock.js';
 
 /**
- * The message that a periodic actor sends to itself in each interval, like the tick of a Raft implementation. It is not a
- * sequence number.
+ * The message that a periodic actor sends to itself in each interval, like the tick of a Raft implementation. It is unrelated
+ * to the `tick` field of a worker's heartbeat, which is a sequence number.
  */
 export interface Tick {
   readonly kind: 'tick';
--- a/packages/runtime/src/rate-limiter.ts
+++ b/packages/runtime/src/rate-limiter.ts
@@ -1,7 +1,7 @@
 /** A rate limiter with a token bucket. */
 import type { Clock } from './clock.js';
 
-/** Permits a number of requests per second on average, and bursts of as many requests as there are tokens. */
+/** Permits a number of requests per second on average, and bursts up to the size of the token bucket. */
 export class RateLimiter {
   private tokens: number;
   private lastRefillAtMs: number;
@@ -26,7 +26,10 @@
     this.burstS = burstS;
   }
 
-  /** Returns the number of milliseconds until `requestCount` requests are permitted, or 0 if they are permitted now. */
+  /**
+   * Returns the number of milliseconds until `requestCount` requests are permitted, or 0 if they are permitted now. More
+   * requests than the bucket has room for are permitted once it is full.
+   */
   computeWaitMs(requestCount: number): number {
     this.refill();
     const requiredTokens = Math.min(requestCount, this.capacity);
--- a/packages/runtime/src/simulated-clock.ts
+++ b/packages/runtime/src/simulated-clock.ts
@@ -32,7 +32,7 @@
     };
   }
 
-  /** Fires every timer that is due by `untilMs`. Pending promises settle after each timer. */
+  /** Fires every timer due by `untilMs`, then sets the time to `untilMs`. Pending promises settle after each timer. */
   async runUntil(untilMs: number): Promise<void> {
     await settlePromises();
     for (let timer = this.timers.peek(); timer && timer.dueAtMs <= untilMs; timer = this.timers.peek()) {
--- a/packages/runtime/src/timer-queue.ts
+++ b/packages/runtime/src/timer-queue.ts
@@ -6,7 +6,7 @@
   readonly dueAtMs: number;
   /** Of two timers that are due at the same time, the one with the lower sequence number fires first. */
   readonly sequence: number;
-  /** Called when the timer fires. When the timer is cancelled, it is replaced by a function that does nothing. */
+  /** Called when the timer fires. Cancelling the timer replaces this function by one that does nothing. */
   callback: () => void;
 }
 
--- a/src/election/campaign-schedule.ts
+++ b/src/election/campaign-schedule.ts
@@ -38,12 +38,12 @@
     return this.dependencies.nowMs() < this.stepDownPauseEndsAtMs;
   }
 
-  /** Postpones the next campaign until `pauseMs` milliseconds from now. */
+  /** Sets the earliest time of the next campaign to `pauseMs` milliseconds from now. */
   postponeBy(pauseMs: number): void {
     this.earliestCampaignAtMs = this.dependencies.nowMs() + pauseMs;
   }
 
-  /** Postpones the next campaign by a random pause between 0.5 and 1.5 times `averagePauseMs`. */
+  /** Sets the earliest time of the next campaign after a random pause between 0.5 and 1.5 times `averagePauseMs`. */
   postponeWithJitter(averagePauseMs: number): void {
     this.postponeBy(averagePauseMs * (0.5 + this.dependencies.random()));
   }
@@ -65,7 +65,10 @@
     return this.earliestCampaignAtMs - nowMs();
   }
 
-  /** Returns an extra delay for a controller in a zone with few nodes, so that controllers near the nodes campaign first. */
+  /**
+   * Returns an extra delay for a controller in a zone with few nodes, so that controllers in zones with more nodes campaign
+   * first.
+   */
   private computeZoneDelayMs(): number {
     return NodeZones.fromReplica(this.dependencies.replica).isRemote(this.dependencies.zone)
       ? REMOTE_CAMPAIGN_DELAY_MS
--- a/src/election/campaign.ts
+++ b/src/election/campaign.ts
@@ -24,8 +24,8 @@
 /** The result of a campaign. */
 export interface CampaignResult {
   /**
-   * Time on the steady clock, in milliseconds, just before the lease was requested. If the campaign is won, the authority of
-   * the term counts from this time.
+   * Time on the steady clock, in milliseconds, just before the lease was requested. If the campaign is won, the duration of
+   * the authority counts from this time.
    */
   readonly leaseRequestedAtMs: number;
   /** Id of the lease to which the leader's key is attached. */
@@ -47,8 +47,8 @@
 }
 
 /**
- * Requests a lease and writes the leader's key attached to it, on the condition that no leader exists and that the term has
- * not been raised in the meantime. Never rejects.
+ * Requests a lease, and writes the raised term and the leader's key attached to the lease, on the condition that there is no
+ * leader's key and that the term has not been raised in the meantime. Never rejects.
  */
 export async function runCampaign(
   { storeClient, replica, member, delegatesRoles, nowMs }: CampaignDependencies,
--- a/src/election/cancellation-log.ts
+++ b/src/election/cancellation-log.ts
@@ -40,9 +40,9 @@
   }
 
   /**
-   * Lists the keys of the cancelled jobs that a reader lacks. These are the entries after its offset or, if it has no offset
-   * in this log, those with a revision above `sinceRevision`. Returns undefined if entries that the reader may lack were
-   * dropped.
+   * Lists the keys of the cancelled jobs that a reader lacks. These are the entries after its offset. If it has no offset in
+   * this log, or entries after the offset were dropped, these are the entries with a revision above `sinceRevision`. Returns
+   * undefined if an entry above that revision was dropped.
    */
   listKeysAfter(offset: LogOffset | undefined, sinceRevision: WireInt): string[] | undefined {
     if (offset?.logId === this.logId && offset.sequence >= this.firstSequence - 1)
--- a/src/election/cancellation-watermark.ts
+++ b/src/election/cancellation-watermark.ts
@@ -14,11 +14,12 @@
 } from '../constants.js';
 
 /**
- * Returns the maximum age, in milliseconds, of a confirmed cancellation that a leader answering heartbeats may not know yet.
+ * Returns the age, in milliseconds, from which a leader must know a confirmed cancellation in order to answer heartbeats.
  *
  * In the worst case, a leader that does not know the cancellation answers a heartbeat when the cancellation has reached this
- * age. A relay delays the answer. The worker gets no further answer, which would stop the tasks, and runs them until its
- * lease expires. All of this together must fit into `cancelS`. The result is negative if the settings leave no time.
+ * age. A pause before the sending and a relay delay the answer. The worker gets no further answer, which would stop the
+ * tasks, and runs them until its lease expires. The expiry is noticed late. All of this together must fit into `cancelS`. If
+ * the settings leave no time, the result is not positive and no heartbeat is answered.
  *
  * @param cancelS - seconds within which the tasks of a cancelled job must have ended
  * @param leaseS - duration of a worker's lease in seconds
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -1,7 +1,7 @@
 /**
  * Leader election, with at most one leader at a time. The leader's key in the state store is attached to a lease. If the key
- * is missing, a controller campaigns by raising the term with a compare-and-swap. While the state store serves no controller,
- * the lease votes of all other controllers extend the leader's authority. docs/design.md explains why that is safe.
+ * is missing, a controller campaigns: a compare-and-swap writes the key and raises the term. While the state store serves no
+ * controller, the lease votes of all others extend the leader's authority. docs/design.md explains why this is safe.
  */
 import { Actor, assertNever } from '@pumicehinge/runtime';
 import {
@@ -160,7 +160,7 @@
     const leaderKey = this.options.replica.get(LEADER_KEY);
     if (role.kind === 'leader') {
       if (leaderKey?.modRevision !== role.term.leaderKeyRevision)
-        this.loseLeadership(role, 'another controller leads');
+        this.loseLeadership(role, 'leader key changed or deleted');
     } else if (role.kind === 'follower' && !leaderKey) {
       const delayMs = this.campaignSchedule.planAfterLeaderLoss();
       this.options.clock.setTimer(delayMs + 1, () => this.send({ kind: 'tick' }));
@@ -190,9 +190,9 @@
   }
 
   /**
-   * Deletes a leader key that names this controller although it does not lead. The key was written by a former process of
-   * this controller or by a campaign whose transaction was applied late. Both have certainly ended, so no controller has to
-   * wait until the lease of the key expires.
+   * Deletes a leader key that names this controller, which does not lead. The key was written by a former process of this
+   * controller or by a campaign whose transaction was applied late. That process or campaign has certainly ended, so no
+   * controller has to wait until the lease of the key expires.
    */
   private deleteOwnLeaderKey({ key, modRevision }: KeyValue): void {
     this.campaignSchedule.postponeBy(STATE_CALL_TIMEOUT_MS);
@@ -247,7 +247,7 @@
   private transferLeadershipIfDue(role: LeaderRole): void {
     if (!this.leadershipTransfer.findSuccessor(role.electedAtMs)) return;
     this.leadershipTransfer.recordTransfer();
-    this.loseLeadership(role, 'leadership transferred to a better placed controller');
+    this.loseLeadership(role, 'stepped down in favor of a controller in a zone with more nodes');
     this.campaignSchedule.pauseAfterStepDown();
   }
 
--- a/src/election/leader-view.ts
+++ b/src/election/leader-view.ts
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Whether workers may be told who the leader is. This is the case if a leader is known and either the local replica is up
-   * to date or the leader is alive.
+   * Whether workers may be told who the leader is. This is the case if a leader is known and either the state store serves
+   * this controller, which keeps the local replica up to date, or the leader is alive.
    */
   get isLeaderInfoFresh(): boolean {
     const leader = this.getKnownLeader();
@@ -45,17 +45,21 @@
     );
   }
 
-  /** Whether there is certainly no leader at present, so that a new one can be expected soon. */
+  /**
+   * Whether there is no leader according to a replica that the state store keeps up to date, so that a new leader can be
+   * expected soon.
+   */
   get isLeaderless(): boolean {
     const { replica, storeClient } = this.dependencies;
     return replica.isLoaded && storeClient.isStoreAvailable && this.getKnownLeader() === undefined;
   }
 
   /**
-   * Whether this controller reports itself as healthy. A controller that the state store does not serve cannot serve users.
-   * It reports itself as unhealthy while another controller is eligible to lead, or while no other controller is alive. If
-   * the state store serves none of the controllers, they stay healthy: a load balancer that removed all of them would add
-   * them again only after an increasing delay.
+   * Whether this controller reports itself as healthy. A controller without a loaded replica is unhealthy. With a loaded
+   * replica, a controller without peers is healthy. A controller that the state store does not serve cannot serve users. It
+   * reports itself as unhealthy while another controller is eligible to lead, or while no other controller is alive. If the
+   * state store serves none of the controllers, they stay healthy: a load balancer that removed all of them would add them
+   * again only after an increasing delay.
    */
   get isHealthy(): boolean {
     const { replica, storeClient, peers, failureDetector } = this.dependencies;
@@ -64,7 +68,7 @@
     return failureDetector.hasAlivePeer() && !failureDetector.hasEligiblePeer();
   }
 
-  /** Lists the names of the controllers in a zone that lead or relay heartbeats to the leader, in a fixed order. */
+  /** Lists the names of the alive peers in a zone that are the leader or relay heartbeats to the leader, in a fixed order. */
   listHeartbeatTargets(zone: string): string[] {
     const leader = this.getKnownLeader();
     return leader === undefined ? [] : this.dependencies.failureDetector.listHeartbeatTargets(zone, leader);
--- a/src/election/leadership-transfer.ts
+++ b/src/election/leadership-transfer.ts
@@ -22,15 +22,16 @@
   readonly nowMs: () => number;
 }
 
-/** Decides when a leader in a zone with few nodes steps down in favor of a controller near the nodes. */
+/** Decides when a leader in a zone with few nodes steps down in favor of a controller in a zone with more nodes. */
 export class LeadershipTransfer {
   private earliestTransferAtMs = -Infinity;
 
   constructor(private readonly dependencies: LeadershipTransferDependencies) {}
 
   /**
-   * Returns a controller near the nodes if the leader elected at `electedAtMs` should step down now. Transfers are rare and
-   * only go to peers that announce themselves as eligible, because the state store may not serve a peer that is alive.
+   * Returns a controller in a zone with more nodes if the leader elected at `electedAtMs` should step down now. Transfers are
+   * rare and only go to peers that announce themselves as eligible, because the state store does not necessarily serve a peer
+   * that is alive.
    */
   findSuccessor(electedAtMs: number): Peer | undefined {
     const { zone: ownZone, peers, storeClient, replica, failureDetector } = this.dependencies;
--- a/src/election/lease-vote-collector.ts
+++ b/src/election/lease-vote-collector.ts
@@ -21,7 +21,7 @@
 
 /**
  * Runs rounds of lease votes. A round in which every peer grants its vote extends the authority of the term. A round in which
- * every peer has also sent all its cancellations advances the cancellation watermark.
+ * every peer has also sent all its cancellations advances the cancellation watermark as well.
  */
 export class LeaseVoteCollector {
   private lastRoundId = 0;
@@ -63,7 +63,7 @@
     this.recordCancellationsMerged(round, member, round.recordTransfer(member, vote.transfer));
   }
 
-  /** Merges the cancellations that a peer sends before its vote. A message that contains anything else is ignored. */
+  /** Merges the cancellations that a peer sends before its vote. A message with anything but cancelled jobs is ignored. */
   handleCancellations(member: string, message: CancellationsMessage, term: LeadershipTerm): void {
     const round = this.findOpenRound(message, term);
     if (!round || !message.cancelledJobs.every(isValidCancelledJob)) return;
@@ -84,7 +84,10 @@
       : undefined;
   }
 
-  /** Records that all cancellations of a peer up to an offset are in the local replica. */
+  /**
+   * Records that all cancellations of a peer up to an offset are in the local replica. Does nothing if the offset is
+   * undefined, because some of the cancellations have not arrived yet.
+   */
   private recordCancellationsMerged(
     round: LeaseVoteRound,
     member: string,
--- a/src/election/lease-voter.ts
+++ b/src/election/lease-voter.ts
@@ -37,8 +37,8 @@
   /** Returns whether this controller neither leads nor campaigns. */
   readonly isFollower: () => boolean;
   /**
-   * Time on the steady clock, in milliseconds, at which this process started, when any former process had ended. Undefined if
-   * there is no peer for which a former process could have voted.
+   * Time on the steady clock, in milliseconds, at which this process started. Any former process of this controller had ended
+   * by then. Undefined if there is no peer for which a former process could have voted.
    */
   readonly processStartMs: number | undefined;
 }
@@ -74,7 +74,7 @@
     return this.grantedVotesEndAtMs;
   }
 
-  /** Appends the job to the cancellation log if a change of the local replica cancels it. */
+  /** Handles a change of the local replica. Appends the key to the cancellation log if the key holds a cancelled job. */
   recordChange({ key, value, modRevision }: KeyChange): void {
     if (isJobKey(key) && isCancelledJob(value)) this.cancellationLog.append(key, modRevision);
   }
@@ -96,7 +96,7 @@
 
   /**
    * Sends the cancellations that the leader lacks. Returns undefined if this controller cannot tell which they are. A process
-   * whose replica is not loaded may not know cancellations that its former process confirmed to users.
+   * whose replica is not loaded may lack cancellations that its former process confirmed to users.
    */
   private sendCancellations(
     member: string,
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Only a follower that the state store does not serve either may grant its vote. If the state store serves the follower,
-   * the leader alone is cut off and must step down.
+   * Only a follower that the state store does not serve either may grant its vote, and not to a leader of a former term.
+   * If the state store serves the follower, the leader alone is cut off and must step down.
    */
   private shouldGrantVote(term: number): boolean {
     const { storeClient, replica } = this.dependencies;
--- a/src/election/peer-failure-detector.ts
+++ b/src/election/peer-failure-detector.ts
@@ -18,7 +18,7 @@
 export class PeerFailureDetector {
   /** Time on the steady clock, in milliseconds, of the last message of each peer. */
   private readonly lastMessageTimesMs = new Map<string, number>();
-  /** Time on the steady clock, in milliseconds, since which each peer has been alive without interruption. */
+  /** Time on the steady clock, in milliseconds, since which each peer has sent messages without becoming suspect. */
   private readonly aliveSinceMs = new Map<string, number>();
   /** Names of the peers that announce themselves as eligible to lead. */
   private readonly eligibleMembers = new Set<string>();
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Whether a peer announces itself as eligible to lead, is not suspect, and has been alive without interruption for more
-   * than `durationMs` milliseconds.
+   * Whether a peer announces itself as eligible to lead, is not suspect, and has sent messages without becoming suspect for
+   * more than `durationMs` milliseconds.
    */
   isStablyEligible(member: string, durationMs: number): boolean {
     const nowMs = this.nowMs();
@@ -78,7 +78,7 @@
     );
   }
 
-  /** Lists the names of the peers in a zone that are the leader or relay heartbeats to it, in a fixed order. */
+  /** Lists the names of the alive peers in a zone that are the leader or relay heartbeats to the leader, in a fixed order. */
   listHeartbeatTargets(zone: string, leader: string): string[] {
     const acceptsHeartbeats = ({ member }: Peer): boolean =>
       this.isAlive(member) && (member === leader || this.relayTargets.get(member) === leader);
--- a/src/election/status-announcer.ts
+++ b/src/election/status-announcer.ts
@@ -24,7 +24,7 @@
 export class StatusAnnouncer {
   constructor(private readonly dependencies: StatusAnnouncerDependencies) {}
 
-  /** Announces the status now and then once per heartbeat interval. */
+  /** Announces the status immediately, and after that once per heartbeat interval. */
   start(): void {
     this.announce();
     this.dependencies.clock.setTimer(PEER_HEARTBEAT_INTERVAL_MS, () => this.start());
--- a/src/peers/peer-codec.ts
+++ b/src/peers/peer-codec.ts
@@ -1,7 +1,7 @@
 /**
- * Encodes and decodes the messages between controllers. Only this module knows the field names and values of the wire format.
- * Different versions run side by side during a rolling upgrade, so the wire format must not change. This includes whether a
- * frame contains a key that has no value.
+ * Encodes and decodes the messages between controllers. Only this module knows the field names and values of their wire
+ * format. Different versions run side by side during a rolling upgrade, so the wire format must not change. This includes
+ * whether a field without a value is omitted or sent as undefined.
  */
 import { assertNever } from '@pumicehinge/runtime';
 import type { KeyValue } from '../state/store-client.js';
@@ -16,7 +16,8 @@
   RunningCountsMessage,
 } from './peer-messages.js';
 
-type Frame = Record<string, unknown>;
+/** An unpacked message with the field names and values of the wire format. */
+type WireMessage = Record<string, unknown>;
 
 /** Encodes a message in the wire format. */
 export function encodePeerMessage(message: PeerMessage): unknown {
@@ -24,7 +25,7 @@
     case 'counts':
     case 'relay':
     case 'relayed':
-      // The wire format of these messages is the same. They are not copied, because relayed heartbeats are frequent.
+      // These messages are already in the wire format. They are not copied, because relayed heartbeats are frequent.
       return message;
     case 'heartbeat':
       return { kind: 'beat' };
@@ -41,7 +42,7 @@
   }
 }
 
-function encodeLeaseVoteRequest(request: LeaseVoteRequest): Frame {
+function encodeLeaseVoteRequest(request: LeaseVoteRequest): WireMessage {
   const { round, term, sinceRevision, offset } = request;
   return {
     kind: 'ask',
@@ -52,12 +53,12 @@
   };
 }
 
-function encodeCancellations({ round, term, cancelledJobs }: CancellationsMessage): Frame {
+function encodeCancellations({ round, term, cancelledJobs }: CancellationsMessage): WireMessage {
   const rows = cancelledJobs.map(({ key, value, modRevision }) => ({ key, value, stamp: modRevision }));
   return { kind: 'cancellations', id: round, term, rows };
 }
 
-function encodeLeaseVote(vote: LeaseVote): Frame {
+function encodeLeaseVote(vote: LeaseVote): WireMessage {
   const { round, term, isGranted, transfer } = vote;
   return {
     kind: 'promise',
@@ -68,40 +69,41 @@
   };
 }
 
-function encodeTransfer({ messageCount, endOffset }: CancellationTransfer): Frame {
+function encodeTransfer({ messageCount, endOffset }: CancellationTransfer): WireMessage {
   return { parts: messageCount, at: encodeOffset(endOffset) };
 }
 
-function encodeOffset({ logId, sequence }: LogOffset): Frame {
+function encodeOffset({ logId, sequence }: LogOffset): WireMessage {
   return { log: logId, seq: sequence };
 }
 
 /**
- * Decodes an unpacked frame. Returns undefined if it is not a known message. Such frames are ignored, because other versions
- * may send them. Unknown fields are ignored too, and nothing is concluded from a missing field.
+ * Decodes an unpacked message. Returns undefined if its kind is unknown or a required field is missing or malformed. The
+ * caller ignores such messages, because other versions may send them. Unknown fields are ignored too, and optional fields may
+ * be missing.
  */
-export function decodePeerMessage(frame: unknown): PeerMessage | undefined {
-  if (!isJsonObject(frame)) return undefined;
-  switch (frame.kind) {
+export function decodePeerMessage(wireMessage: unknown): PeerMessage | undefined {
+  if (!isJsonObject(wireMessage)) return undefined;
+  switch (wireMessage.kind) {
     case 'beat':
       return { kind: 'heartbeat' };
     case 'counts':
-      return decodeRunningCounts(frame);
+      return decodeRunningCounts(wireMessage);
     case 'able':
-      return decodeStatus(frame);
+      return decodeStatus(wireMessage);
     case 'relay':
     case 'relayed':
-      return decodeRelay(frame);
+      return decodeRelay(wireMessage);
     case 'ask':
     case 'cancellations':
     case 'promise':
-      return decodeVoteRoundMessage(frame);
+      return decodeVoteRoundMessage(wireMessage);
     default:
       return undefined;
   }
 }
 
-function decodeRunningCounts({ running }: Frame): RunningCountsMessage | undefined {
+function decodeRunningCounts({ running }: WireMessage): RunningCountsMessage | undefined {
   if (!isJsonObject(running)) return undefined;
   const counts = Object.entries(running).filter((entry): entry is [string, number] =>
     isNonNegativeInteger(entry[1]),
@@ -109,31 +111,31 @@
   return { kind: 'counts', running: Object.fromEntries(counts) };
 }
 
-function decodeStatus({ able, relays }: Frame): PeerMessage | undefined {
+function decodeStatus({ able, relays }: WireMessage): PeerMessage | undefined {
   if (typeof able !== 'boolean') return undefined;
   return { kind: 'status', isEligible: able, relayTarget: typeof relays === 'string' ? relays : null };
 }
 
-function decodeRelay({ kind, id, status, body }: Frame): PeerMessage | undefined {
+function decodeRelay({ kind, id, status, body }: WireMessage): PeerMessage | undefined {
   if (!isNonNegativeInteger(id) || typeof body !== 'string') return undefined;
   if (kind === 'relay') return { kind, id, body };
   return isNonNegativeInteger(status) ? { kind: 'relayed', id, status, body } : undefined;
 }
 
-function decodeVoteRoundMessage(frame: Frame): PeerMessage | undefined {
-  const { kind, id: round, term } = frame;
+function decodeVoteRoundMessage(wireMessage: WireMessage): PeerMessage | undefined {
+  const { kind, id: round, term } = wireMessage;
   if (!isNonNegativeInteger(round) || !isNonNegativeInteger(term)) return undefined;
   if (kind === 'ask') {
-    const sinceRevision = isWireInt(frame.since) ? frame.since : undefined;
-    return { kind: 'leaseVoteRequest', round, term, sinceRevision, offset: decodeOffset(frame.read) };
+    const sinceRevision = isWireInt(wireMessage.since) ? wireMessage.since : undefined;
+    return { kind: 'leaseVoteRequest', round, term, sinceRevision, offset: decodeOffset(wireMessage.read) };
   }
   if (kind === 'cancellations') {
-    const cancelledJobs = decodeKeyValues(frame.rows);
+    const cancelledJobs = decodeKeyValues(wireMessage.rows);
     return cancelledJobs && { kind, round, term, cancelledJobs };
   }
-  if (typeof frame.given !== 'boolean') return undefined;
-  const transfer = decodeTransfer(frame.informs);
-  return { kind: 'leaseVote', round, term, isGranted: frame.given, transfer };
+  if (typeof wireMessage.given !== 'boolean') return undefined;
+  const transfer = decodeTransfer(wireMessage.informs);
+  return { kind: 'leaseVote', round, term, isGranted: wireMessage.given, transfer };
 }
 
 function decodeTransfer(value: unknown): CancellationTransfer | undefined {
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -12,7 +12,7 @@
   readonly ownMember: string;
   /** Host and port on which the peer listens. */
   readonly peerAddress: string;
-  /** Maximum number of bytes that are buffered before they are sent. */
+  /** Number of unsent bytes from which on further messages are dropped. */
   readonly maxBufferedBytes: number;
   readonly clock: Clock;
 }
@@ -23,6 +23,7 @@
   readonly sender: FrameSender;
   /** Time on the steady clock, in milliseconds, at which the socket was connected. Undefined before that. */
   connectedAtMs: number | undefined;
+  /** Cancels the timer of the next heartbeat. */
   stopHeartbeats: () => void;
 }
 
@@ -33,7 +34,7 @@
 
   constructor(private readonly options: PeerConnectionOptions) {}
 
-  /** Whether the peer's host refused the most recent attempt to connect. */
+  /** Whether the peer's host refused the most recent attempt to connect that did not time out. */
   get isRefused(): boolean {
     return this.wasRefused;
   }
@@ -91,9 +92,9 @@
   }
 
   /**
-   * Dials the peer again. After a stable connection this happens at once, because the outcome (refused or not)
-   * distinguishes a packet filter from a network partition. Otherwise there is a pause. Without it, a peer that closes each connection
-   * immediately (another program, or a host without free sockets) would keep this controller busy with dialing.
+   * Dials the peer again. After a stable connection this happens at once, because the outcome distinguishes a packet filter,
+   * which refuses the connection, from a network partition. Otherwise there is a pause. Without the pause, a peer that closes
+   * each connection immediately (another program, or a host without free sockets) would keep this controller busy.
    */
   private onClosed(session: SocketSession): void {
     const { clock } = this.options;
--- a/src/peers/peer-errors.ts
+++ b/src/peers/peer-errors.ts
@@ -10,7 +10,7 @@
   }
 }
 
-/** Thrown when the length at the start of a frame exceeds the size limit of frames. */
+/** Thrown when the body length at the start of a frame exceeds the size limit. */
 export class PeerFrameTooLargeError extends Error {
   override readonly name = 'PeerFrameTooLargeError';
 
--- a/src/peers/peer-frames.ts
+++ b/src/peers/peer-frames.ts
@@ -1,17 +1,20 @@
-/** Framing of the messages between controllers. A frame is a length of four bytes and the message as msgpackr packs it. */
+/**
+ * Framing of the messages between controllers. A frame consists of the length of its body, as a big-endian integer of four
+ * bytes, and the body, which is the message packed by msgpackr.
+ */
 import type { Writable } from 'node:stream';
 import { pack, unpack } from 'msgpackr';
 import { MAX_PEER_FRAME_BYTES } from '../constants.js';
 import { MalformedPeerFrameError, PeerFrameTooLargeError } from './peer-errors.js';
 
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 
-/** Encodes a message that is already in the wire format as a frame. */
+/** Packs a message, which is already encoded in the wire format, into a frame. */
 export function encodeFrame(message: unknown): Buffer {
   const body = pack(message);
-  const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
+  const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
-  frame.set(body, LENGTH_BYTES);
+  frame.set(body, LENGTH_PREFIX_BYTES);
   return frame;
 }
 
@@ -22,19 +25,19 @@
   /**
    * Returns the unpacked messages that `chunk` completes.
    *
-   * @throws PeerFrameTooLargeError if a frame exceeds the size limit
+   * @throws PeerFrameTooLargeError if the body of a frame exceeds the size limit
    * @throws MalformedPeerFrameError if the body of a frame cannot be unpacked
    */
   feed(chunk: Buffer): unknown[] {
     this.buffer = this.buffer.length === 0 ? chunk : Buffer.concat([this.buffer, chunk]);
     const messages: unknown[] = [];
     let offset = 0;
-    while (this.buffer.length - offset >= LENGTH_BYTES) {
+    while (this.buffer.length - offset >= LENGTH_PREFIX_BYTES) {
       const length = this.buffer.readUInt32BE(offset);
       if (length > MAX_PEER_FRAME_BYTES) throw new PeerFrameTooLargeError(length, MAX_PEER_FRAME_BYTES);
-      const end = offset + LENGTH_BYTES + length;
+      const end = offset + LENGTH_PREFIX_BYTES + length;
       if (this.buffer.length < end) break;
-      messages.push(unpackBody(this.buffer.subarray(offset + LENGTH_BYTES, end)));
+      messages.push(unpackBody(this.buffer.subarray(offset + LENGTH_PREFIX_BYTES, end)));
       offset = end;
     }
     this.buffer = this.buffer.subarray(offset);
@@ -60,7 +63,7 @@
 
   constructor(
     private readonly socket: Writable,
-    /** Maximum number of bytes that are buffered for a slow peer. */
+    /** Number of unsent bytes from which on further messages are dropped. */
     private readonly maxBufferedBytes: number,
   ) {}
 
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -44,7 +44,7 @@
   readonly offset?: LogOffset | undefined;
 }
 
-/** Sent by a voter to the leader before its vote: jobs that are cancelled according to the voter's replica. */
+/** Sent by a voter to the leader before the vote: jobs that are cancelled according to the voter's replica. */
 export interface CancellationsMessage {
   readonly kind: 'cancellations';
   /** Number of the round of votes. */
@@ -64,14 +64,14 @@
   readonly term: number;
   /** Whether the voter grants its vote, and therefore does not campaign for a while. */
   readonly isGranted: boolean;
-  /** The cancellations that the voter has sent. Without it, the voter may know cancellations that the leader lacks. */
+  /** Describes the cancellations that the voter has sent. Undefined if the voter may know others that the leader lacks. */
   readonly transfer?: CancellationTransfer | undefined;
 }
 
 /** Sent regularly by each controller to all peers: the status of the sender. */
 export interface StatusMessage {
   readonly kind: 'status';
-  /** Whether the sender could lead: the state store serves it, and it did not step down recently. */
+  /** Whether the sender could lead: the state store serves the sender, and the sender did not step down recently. */
   readonly isEligible: boolean;
   /** The leader to which the sender relays heartbeats, or null if it reaches no leader. */
   readonly relayTarget: string | null;
@@ -89,7 +89,7 @@
 /** Sent by the leader to a relay: the response to a relayed heartbeat. */
 export interface RelayResponseMessage {
   readonly kind: 'relayed';
-  /** Number of the heartbeat. */
+  /** Number of the heartbeat, from the relay's message. */
   readonly id: number;
   /** HTTP status of the response to the worker. */
   readonly status: number;
--- a/src/peers/peer-transport.ts
+++ b/src/peers/peer-transport.ts
@@ -39,7 +39,7 @@
   /** Name of this controller. */
   readonly member: string;
   readonly peers: readonly Peer[];
-  /** Maximum number of bytes that are buffered per peer before they are sent. */
+  /** Number of unsent bytes per peer from which on further messages to the peer are dropped. */
   readonly maxBufferedBytes: number;
   readonly clock: Clock;
   readonly log: Logger;
@@ -61,7 +61,7 @@
     this.listeners.push(listener);
   }
 
-  /** Returns whether the peer's host refused the most recent attempt to connect. */
+  /** Returns whether the peer's host refused the most recent attempt to connect that did not time out. */
   refusesConnections(member: string): boolean {
     return this.connections.get(member)?.isRefused ?? false;
   }
@@ -107,9 +107,9 @@
     socket.on('error', () => socket.destroy());
     socket.on('data', (data: Buffer) => {
       try {
-        for (const frame of frameReader.feed(data)) {
-          if (peerName === undefined) peerName = this.readPeerName(frame);
-          else this.receiveFrame(peerName, frame);
+        for (const wireMessage of frameReader.feed(data)) {
+          if (peerName === undefined) peerName = this.readPeerName(wireMessage);
+          else this.receiveMessage(peerName, wireMessage);
         }
       } catch (error) {
         this.options.log.error({ err: error }, 'invalid data received from a peer; connection closed');
@@ -118,16 +118,16 @@
     });
   }
 
-  /** Reads the first frame of a connection, which contains the name of the peer. */
-  private readPeerName(frame: unknown): string {
-    const name = isJsonObject(frame) ? frame.member : undefined;
+  /** Reads the first message of a connection, which contains the name of the peer. */
+  private readPeerName(wireMessage: unknown): string {
+    const name = isJsonObject(wireMessage) ? wireMessage.member : undefined;
     const peer = this.options.peers.find(({ member }) => member === name);
     if (!peer) throw new UnknownPeerError(name);
     return peer.member;
   }
 
-  private receiveFrame(member: string, frame: unknown): void {
-    const message = decodePeerMessage(frame);
+  private receiveMessage(member: string, wireMessage: unknown): void {
+    const message = decodePeerMessage(wireMessage);
     if (message) for (const listener of this.listeners) listener(member, message);
     else this.options.log.debug({ member }, 'unknown message from a peer ignored');
   }
--- a/test/election/cancellation-log.test.ts
+++ b/test/election/cancellation-log.test.ts
@@ -3,9 +3,9 @@
 import { MIN_CANCELLATION_LOG_ENTRIES } from '../../src/constants.js';
 import { CancellationLog } from '../../src/election/cancellation-log.js';
 
-test('a cancellation log lists the keys that a reader lacks, or undefined if it may lack dropped ones', () => {
+test('a cancellation log lists the keys that a reader lacks, or returns undefined if it may have dropped some', () => {
   const log = new CancellationLog(77);
-  const listKeys = (firstRevision: number, lastRevision: number): string[] =>
+  const createKeys = (firstRevision: number, lastRevision: number): string[] =>
     Array.from({ length: lastRevision - firstRevision + 1 }, (_, i) => `k${firstRevision + i}`);
   for (let revision = 1; revision < 5; revision++) log.append(`k${revision}`, revision);
   const readOffset = log.endOffset;
@@ -36,5 +36,8 @@
   const lastRevision = 3 * MIN_CANCELLATION_LOG_ENTRIES;
   assert.equal(log.listKeysAfter(undefined, 5), undefined);
   assert.equal(log.listKeysAfter(readOffset, 5), undefined);
-  assert.deepEqual(log.listKeysAfter(undefined, lastRevision - 2), listKeys(lastRevision - 1, lastRevision));
+  assert.deepEqual(
+    log.listKeysAfter(undefined, lastRevision - 2),
+    createKeys(lastRevision - 1, lastRevision),
+  );
 });
--- a/test/election/cancellation-watermark.test.ts
+++ b/test/election/cancellation-watermark.test.ts
@@ -12,7 +12,7 @@
   computeMaxCancellationLagMs,
 } from '../../src/election/cancellation-watermark.js';
 
-test('the settings limit the age of a cancellation that a leader answering heartbeats may not know yet', () => {
+test('the maximum cancellation lag is short enough for the tasks of a cancelled job to end in time', () => {
   const cases: [cancelS: number, leaseS: number][] = [
     [39, 14],
     [35, 10],
@@ -27,7 +27,7 @@
     const tasksEndedMs =
       computeLeaseExpiryMs(maxLagMs + RELAY_RESPONSE_VALIDITY_MS, leaseS) * (1 + MAX_CLOCK_DRIFT_RATIO);
     assert.ok(tasksEndedMs < cancelS * 1000, `${cancelS} ${leaseS}: ${tasksEndedMs}`);
-    // If the settings leave no time, a leader that may not know a cancellation does not answer at all.
+    // If the settings leave no time, the maximum lag is not positive, and no heartbeat is answered.
     assert.equal(maxLagMs > 0, cancelS > leaseS + 4, `${cancelS} ${leaseS}`);
   }
 });
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -21,7 +21,7 @@
 
 type ProbeResult = 'served' | 'refused' | 'unanswered';
 
-/** A state store that grants leases and applies every transaction, but fails each lease renewal. */
+/** Creates a client of a state store that grants leases and applies every transaction, but fails each lease renewal. */
 function createStoreClient() {
   return {
     lastCallFailed: false,
@@ -35,7 +35,7 @@
   };
 }
 
-/** A replica in which `leader` leads term 6. A read of the state store ends as `probe` specifies. */
+/** Creates a replica with term 6, led by `leader` if given. A read of the state store ends as `probe` specifies. */
 function createReplica(
   leader: string | undefined,
   probe: ProbeResult,
@@ -176,12 +176,12 @@
   modRevision,
 });
 
-test('a voter sends the cancellations that the leader lacks, and none if it may not know all of them', async () => {
+test('a voter sends the cancellations that the leader lacks, and none if the voter cannot tell which', async () => {
   const cases: [
     name: string,
     prepare: (fixture: ReturnType<typeof createFixture>) => void,
     request: object,
-    expectedJobs: number | undefined,
+    expectedJobCount: number | undefined,
   ][] = [
     [
       'the leader requests from the revision up to which its replica is complete',
@@ -198,7 +198,7 @@
       undefined,
     ],
   ];
-  for (const [name, prepare, request, expectedJobs] of cases) {
+  for (const [name, prepare, request, expectedJobCount] of cases) {
     const fixture = createFixture('c1', 'refused');
     for (const revision of [10, 12, 13]) {
       fixture.replica.mergeIfNewer(createCancelledJob(`job-${revision}`, revision));
@@ -210,8 +210,8 @@
     const vote = fixture.sent.find((m) => m.kind === 'leaseVote');
     assert.ok(vote?.isGranted, name);
     const sent = fixture.sent.flatMap((m) => (m.kind === 'cancellations' ? m.cancelledJobs : []));
-    assert.equal(vote.transfer && sent.length, expectedJobs, name);
-    if (expectedJobs) assert.deepEqual(sent.at(-1), createCancelledJob('job-13', 13));
+    assert.equal(vote.transfer && sent.length, expectedJobCount, name);
+    if (expectedJobCount) assert.deepEqual(sent.at(-1), createCancelledJob('job-13', 13));
     // In the next round, the leader reads on from its offset.
     if (!vote.transfer) continue;
     fixture.sent.length = 0;
--- a/test/election/leadership-authority.test.ts
+++ b/test/election/leadership-authority.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { LeadershipAuthority } from '../../src/election/leadership-authority.js';
 
-test('a leader may answer workers only while its authority is valid', () => {
+test('renewals and votes prolong the authority of a leader, and a revocation ends it', () => {
   type AuthorityEvent = 'lease renewed' | 'votes granted' | 'revoked' | 'none';
   type Step = [atMs: number, event: AuthorityEvent, requestedAtMs: number, isValid: boolean];
   const cases: [name: string, steps: Step[]][] = [
--- a/test/peers/peer-codec.test.ts
+++ b/test/peers/peer-codec.test.ts
@@ -4,7 +4,7 @@
 import { decodePeerMessage, encodePeerMessage } from '../../src/peers/peer-codec.js';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
 
-test('each kind of message is decoded as it was encoded', () => {
+test('decoding an encoded message returns the same message, for each kind', () => {
   const messages: PeerMessage[] = [
     { kind: 'heartbeat' },
     { kind: 'counts', running: { 'job-1': 3 } },
--- a/test/peers/peer-frames.test.ts
+++ b/test/peers/peer-frames.test.ts
@@ -25,7 +25,7 @@
   assert.deepEqual(new FrameReader().feed(writtenChunks[0]!), sentMessages);
 });
 
-test('frames are read in whatever chunks their bytes arrive', () => {
+test('frames are read in whatever chunks their bytes arrive, and invalid frames are rejected', () => {
   const messages = [{ kind: 'beat' }, { kind: 'relayed', id: 7, status: 200, body: 'x'.repeat(500) }, 5];
   const bytes = Buffer.concat(messages.map(encodeFrame));
   for (const chunkSize of [1, 3, 4, 5, 64, bytes.length]) {
--- a/test/peers/peer-transport.test.ts
+++ b/test/peers/peer-transport.test.ts
@@ -8,7 +8,8 @@
 import { MAX_PEER_FRAME_BYTES, PEER_RECONNECT_DELAY_MS } from '../../src/constants.js';
 import { TcpPeerTransport } from '../../src/peers/peer-transport.js';
 
-// Guards against redialing, without a pause, a host that closes each connection at once. That took half of a process's time.
+// Guards against redialing, without a pause, a host that closes each connection at once. Such redialing took half of a
+// process's time.
 test('a peer is dialed again at once after a stable connection, and after a pause otherwise', async () => {
   for (const [connectionMs, expectedDelayMs] of [
     [0, PEER_RECONNECT_DELAY_MS],
