--- a/src/constants/cloud.ts
+++ b/src/constants/cloud.ts
@@ -1,10 +1,14 @@
 /** Constants for calls to the cloud, and for instances and their boot times. */
 
-/** The leader uses this share of the cloud's request rate. */
+/**
+ * All controllers together use this share of the cloud's request rate. If no roles are delegated, the leader uses it
+ * alone.
+ */
 export const CLOUD_RATE_SHARE = 0.8;
 /**
  * If the holders of controller roles launch and terminate instances in place of the leader, the usable request rate is
- * split into these shares: one for the leader, which reads the instance list and the catalog, and one for each role.
+ * split into these shares: one for the leader, which reads the instance list and the catalog, and one for each role,
+ * under the name of the role.
  * The shares add up to 1. The launches have the largest share because waiting work depends on them.
  */
 export const DELEGATED_CLOUD_RATE_SHARES = { leader: 0.3, rent: 0.45, return: 0.125, reclaim: 0.125 };
--- a/src/constants/election-and-peers.ts
+++ b/src/constants/election-and-peers.ts
@@ -17,8 +17,9 @@
  */
 export const MAX_CLOCK_DRIFT_RATIO = 0.001;
 /**
- * Duration of a lease vote, in milliseconds. For this long the voter does not campaign, because neither the voter nor
- * the leader reaches the state store. It is short because a restarted controller has to wait until the vote has ended.
+ * Duration of a lease vote, in milliseconds. A vote lets the leader continue to lead while the state store serves
+ * neither the leader nor the voter, so the voter does not campaign until its vote has ended. The duration is short
+ * because a restarted controller has to wait until any vote that it granted before the restart has ended.
  */
 export const LEASE_VOTE_DURATION_MS = 1_500;
 /**
@@ -46,7 +47,7 @@
 export const LEASE_VOTE_MARGIN_MS = 200;
 /**
  * A lease vote is granted once a probe of the state store has been unanswered for this many milliseconds. An answer
- * usually takes less than 10 ms.
+ * of the state store usually takes less than 10 ms.
  */
 export const STATE_STORE_PROBE_TIMEOUT_MS = 300;
 /** Maximum random delay before a campaign, in milliseconds. It makes collisions between two candidates rare. */
@@ -65,7 +66,10 @@
  * partitioned.
  */
 export const MIN_NODE_SAMPLE_SIZE = 3;
-/** If more than this share of the nodes falls silent together, the leader considers itself partitioned from them. */
+/**
+ * If more than this share of the nodes has sent no heartbeat for too long at the same time, the leader considers itself
+ * partitioned from the nodes.
+ */
 export const PARTITIONED_NODES_SHARE = 0.6;
 /**
  * A term must last at least this many milliseconds before its leader may consider itself partitioned from the nodes.
@@ -77,8 +81,8 @@
  */
 export const LEADERSHIP_TRANSFER_MIN_TERM_MS = 20_000;
 /**
- * The leader redirects workers of a zone only if at least this many controllers of the zone relay heartbeats. A single
- * one would receive the heartbeats of all workers.
+ * The leader redirects workers of a zone only if at least this many other controllers of the zone relay heartbeats. A
+ * single relay would receive the heartbeats of all workers of the zone.
  */
 export const MIN_RELAYS_FOR_REDIRECT = 2;
 /**
@@ -89,21 +93,21 @@
 /** Minimum time, in milliseconds, before the same worker is redirected again. */
 export const REDIRECT_REPEAT_INTERVAL_MS = 60_000;
 /**
- * After it stepped down, a controller does not campaign for this many milliseconds. The successor must have been alive
- * for the same time before the transfer.
+ * A controller does not campaign for this many milliseconds after it stepped down. Before the transfer, the successor
+ * must have been alive without interruption for more than the same time.
  */
 export const STEP_DOWN_PAUSE_MS = 5_000;
 /** A controller renews leases of workers by proxy after this many milliseconds without a message from the leader. */
 export const LEASE_PROXY_ACTIVATION_MS = 2_000;
 /**
- * A lease renewal proxy relies on a read of the state store for this many milliseconds. A new leader waits this out
- * too.
+ * A lease renewal proxy relies on a read of the state store for this many milliseconds. A new leader assumes that
+ * proxies of the previous term may renew leases for this many milliseconds after its own term began.
  */
 export const LEASE_PROXY_READ_VALIDITY_MS = 1_000;
 /**
  * The leader's response to a relayed heartbeat may be passed on to the worker for this many milliseconds after the
- * heartbeat was forwarded. The leader counts the worker's lease from the end of this time. A new leader waits it out
- * too.
+ * heartbeat was forwarded. The leader counts the worker's lease from the end of this time. A new leader assumes that
+ * relays may pass on responses of its predecessor for this many milliseconds after its own term began.
  */
 export const RELAY_RESPONSE_VALIDITY_MS = 1_500;
 /**
--- a/src/constants/http.ts
+++ b/src/constants/http.ts
@@ -23,7 +23,7 @@
 export const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 /** Responses of up to this many bytes are always accepted. A page of the state store has at most half this size. */
 export const MIN_RESPONSE_LIMIT_BYTES = 1024 * 1024;
-/** One response may take up to this share of the memory for data. After parsing it takes several times as much. */
+/** One response may take up to this share of the memory for data. A parsed response takes several times as much. */
 export const RESPONSE_MEMORY_SHARE = 0.1;
 /**
  * User requests are rejected while more than this share of the memory for data is in use. Workers and jobs need the
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -13,8 +13,9 @@
  */
 export const FLEET_REVIEW_MIN_INTERVAL_MS = 250;
 /**
- * Minimum interval between these reviews, as a multiple of the duration of a review. It bounds the processor time that
- * reviews take, because their duration grows with the fleet.
+ * Minimum interval between two reviews of all nodes, as a multiple of the duration of a review, and between two rounds
+ * of scale-out, as a multiple of the duration of a round. It bounds the processor time that both take, because their
+ * durations grow with the fleet.
  */
 export const FLEET_REVIEW_INTERVAL_RATIO = 20;
 /**
@@ -78,8 +79,8 @@
  */
 export const MAX_OCCUPIED_CAPACITY_WAIT_S = 60;
 /**
- * A job that missed its last deadline is queued as if it were due this many milliseconds after its earliest deadline,
- * so that a stream of newer jobs can't delay it forever.
+ * A job that can no longer meet any of its deadlines is queued as if it were due this many milliseconds after the
+ * earliest of them, so that a stream of newer jobs can't delay it forever.
  */
 export const LATE_JOB_DUE_DELAY_MS = 90_000;
 /**
@@ -90,7 +91,7 @@
 /** A job without a deadline is queued as if it were due this many milliseconds after it became ready to run. */
 export const NO_DEADLINE_JOB_DUE_DELAY_MS = 120_000;
 /**
- * A job that has waited this many milliseconds without a running task is queued with the jobs within their team's
+ * A job that has waited this many milliseconds without an allocated task is queued with the jobs within their team's
  * guarantee, so that even the largest jobs start in time.
  */
 export const STARVATION_WAIT_MS = 100_000;
@@ -98,7 +99,7 @@
 export const MS_PER_HOUR = 3_600_000;
 /** Expected number of spot interruptions per hour of use before any use has been observed. */
 export const SPOT_PRIOR_INTERRUPTIONS_PER_HOUR = 2;
-/** That expectation has the same weight as this many hours of observed use. */
+/** `SPOT_PRIOR_INTERRUPTIONS_PER_HOUR` has the same weight as this many hours of observed use. */
 export const SPOT_PRIOR_WEIGHT_HOURS = 0.25;
 /**
  * Above this number of spot interruptions per hour of use, jobs with a deadline avoid spot nodes. Such a job is done
@@ -109,7 +110,7 @@
 export const SPOT_BURST_WINDOW_MS = 10_000;
 /** Of the interruptions in a burst, at most this multiple of the number expected in that time is counted. */
 export const MAX_COUNTED_SPOT_BURST_RATIO = 3;
-/** At least this many interruptions of a burst are counted, if there are as many. */
+/** Of the interruptions in a burst, up to this many are always counted, even if fewer were expected. */
 export const MIN_COUNTED_SPOT_BURST = 3;
 /** Minimum interval between two writes of the observed interruptions, in milliseconds. */
 export const SPOT_INTERRUPTIONS_WRITE_INTERVAL_MS = 30_000;
--- a/src/constants/state-store.ts
+++ b/src/constants/state-store.ts
@@ -3,8 +3,8 @@
 /** All controllers together use this share of the store's rate limits. The rest allows for clock errors and retries. */
 export const STATE_RATE_SHARE = 0.9;
 /**
- * Share of the usable request rate that is reserved for the leader. The watches and polls of the other controllers need
- * most of the rest.
+ * Share of the usable request rate that is reserved for the leader. The other controllers need most of the rest for
+ * watches and for the polls of users.
  */
 export const LEADER_REQUEST_RATE_SHARE = 0.4;
 /**
@@ -68,5 +68,8 @@
  * usually lie in few segments.
  */
 export const MAX_COMPLETION_SEGMENTS_PER_WRITE = 4;
-/** Number of tasks per segment of the completion bitmap. 8192 bits take 1.4 KB in base64, far below `value_kb`. */
+/**
+ * Number of tasks per segment of the completion bitmap. 8192 bits take 1.4 KB in base64, far below the usual
+ * `value_kb`.
+ */
 export const TASKS_PER_COMPLETION_SEGMENT = 8_192;
--- a/src/constants/users.ts
+++ b/src/constants/users.ts
@@ -1,8 +1,11 @@
 /** Constants for requests of users. */
 
-/** Timeout for the answer to a submission, in milliseconds. Users give up after 5 s, and get status 503 before that. */
+/**
+ * Timeout for the answer to a submission or cancellation, in milliseconds. Users give up after 5 s, and get status 503
+ * before that.
+ */
 export const SUBMISSION_TIMEOUT_MS = 3_500;
-/** Timeout for the answer to a poll, in milliseconds. Users wait for it for 2 s. */
+/** Timeout for the answer to a poll, in milliseconds. Users wait 2 s for the answer. */
 export const POLL_TIMEOUT_MS = 1_500;
 /**
  * Seconds after which users are asked to retry by a controller that is overloaded or does not reach the state store. It
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -39,8 +39,8 @@
 /** After this many consecutive responses without effect, responses are considered not to reach the node. */
 export const MAX_UNACKNOWLEDGED_RESPONSES = 2;
 /**
- * For this many milliseconds, a worker that does not send the fencing token of the current term gets responses. After
- * that the responses are considered not to reach the worker.
+ * For this many milliseconds after its first contact in a term, a worker that does not send the fencing token of the
+ * term gets responses. After that the responses are considered not to reach the worker.
  */
 export const FIRST_CONTACT_WINDOW_MS = 6_000;
 /**
--- a/src/pipeline/dependency-graph.ts
+++ b/src/pipeline/dependency-graph.ts
@@ -59,23 +59,23 @@
 
 /** An open job, or a job that an open job depends on and whose own stored value has not been read yet. */
 interface GraphMember {
-  /** Whether its stored value was read with its dependencies. Until then it is only known as a dependency of others. */
+  /** Whether the job's stored value was read together with its dependencies. Until then the job is not ready. */
   isLoaded: boolean;
-  /** The state that follows from its stored phase. It is also F if one of its dependencies has failed. */
+  /** The state that follows from the job's stored phase. It is also F if one of the job's dependencies has failed. */
   state: GraphMemberState;
   dependencies: readonly string[];
-  /** Number of its dependencies that have not succeeded. */
+  /** Number of the job's dependencies that have not succeeded. */
   unmetDependencyCount: number;
   isReady: boolean;
-  /** Uids of the jobs that depend on it. */
+  /** Uids of the jobs that depend on this one. */
   readonly dependents: Set<string>;
 }
 
 /**
  * Computes the dependency status of each job. The status follows from stored values alone, so that all controllers
- * agree on it. The effect of a cancellation on dependents is not stored. The cost of a change is proportional to the
- * number of edges that it affects. A job that is done or cancelled, or that has neither dependencies nor dependents,
- * costs nothing.
+ * agree on it. The dependents of a cancelled job count as cancelled even before their own cancellation is stored. The
+ * cost of a change is proportional to the number of edges that it affects. A job that is done or cancelled, or that has
+ * neither dependencies nor dependents, is not kept in the graph.
  */
 export class DependencyGraph {
   private readonly members = new Map<string, GraphMember>();
@@ -97,7 +97,7 @@
     member.isLoaded = !isOpen || stored.dependencies !== undefined;
     if (stored.phase === 'done') this.markSucceeded(member);
     else if (stored.phase === 'cancelled') this.markFailed(uid);
-    // From now on its stored value tells its dependents all that they need to know.
+    // Jobs that are stored later and depend on this one read its final phase from the stored value.
     if (!isOpen) this.members.delete(uid);
   }
 
--- a/src/pipeline/inherited-priority.ts
+++ b/src/pipeline/inherited-priority.ts
@@ -6,7 +6,7 @@
 
 /** How urgent a job is. */
 export interface Priority {
-  /** The priority class that the user chose. */
+  /** The priority class that a user chose for the job or, if it is inherited, for one of the job's dependents. */
   readonly rank: Rank;
   /**
    * Deadlines in milliseconds of wall time, earliest first. If two lists of different lengths are compared, the last
--- a/src/pipeline/job-allocations.ts
+++ b/src/pipeline/job-allocations.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * The allocated tasks of a job. A change takes constant time, and the search for the next pending task takes amortized
- * constant time.
+ * The allocated tasks of a job. A change takes constant time. The search for the next pending task skips the tasks
+ * below the lowest number that may be pending.
  */
 export class JobAllocations<Attempt extends TaskAttempt> {
   private readonly attemptByTask = new Map<number, Attempt>();
--- a/src/pipeline/job-persistence.ts
+++ b/src/pipeline/job-persistence.ts
@@ -118,8 +118,8 @@
 
   /**
    * Starts a write of the record and of at most `maxSegments` segments. If segments remain for a later write, the
-   * record keeps its persisted state, because a job must not be stored as done before all its completed tasks are
-   * stored.
+   * record keeps phase `open` and the persisted member states, because a job must not be stored as done before all its
+   * completed tasks are stored.
    */
   beginWrite(record: Omit<JobRecord, 'firstCompletionSegment'>, maxSegments: number): JobWrite {
     this.isWriting = true;
@@ -130,12 +130,12 @@
     }));
     const hasRemainingSegments = segments.length < this.dirtySegments.size;
     for (const { segmentIndex } of segments) this.dirtySegments.delete(segmentIndex);
-    const completed = encodeCompletionSegment(this.completedTasks, 0);
+    const encodedFirstSegment = encodeCompletionSegment(this.completedTasks, 0);
     const persistedState = { phase: 'open' as const, memberStates: this.knownRecord.memberStates };
     return {
       record: {
         ...record,
-        firstCompletionSegment: completed,
+        firstCompletionSegment: encodedFirstSegment,
         ...(hasRemainingSegments ? persistedState : {}),
       },
       modRevision: this.knownModRevision,
@@ -170,8 +170,8 @@
     return this.segmentRevisions.get(segment) ?? 0;
   }
 
-  private mergeCompletedTasks(segment: number, text: string): void {
-    decodeCompletionSegment(this.completedTasks, segment, text);
-    decodeCompletionSegment(this.persistedTasks, segment, text);
+  private mergeCompletedTasks(segment: number, encodedBitmap: string): void {
+    decodeCompletionSegment(this.completedTasks, segment, encodedBitmap);
+    decodeCompletionSegment(this.persistedTasks, segment, encodedBitmap);
   }
 }
--- a/src/pipeline/job-pipeline.ts
+++ b/src/pipeline/job-pipeline.ts
@@ -1,6 +1,6 @@
 /**
  * Creates the pipeline (flexible transaction) of a submitted job. A job that allows spot instances uses spot capacity
- * first, and falls back to any capacity if that fails.
+ * first, and falls back to capacity of either kind if the member for spot capacity fails.
  */
 import type { JobSpec } from '../state/records.js';
 import { ALWAYS_TRUE, failed, type Pipeline } from './pipeline.js';
--- a/src/pipeline/job.ts
+++ b/src/pipeline/job.ts
@@ -37,7 +37,7 @@
   readonly persistence: JobPersistence;
   /** The run times and failures of its tasks. */
   readonly progress: JobProgress;
-  /** The times since which the job waits, for its dependencies or for capacity. */
+  /** The times since which its dependencies are done, and since which it waits for capacity. */
   readonly queueTimes = new QueueTimes();
 
   private readonly jobAllocations: JobAllocations<Attempt>;
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Wall time, in milliseconds, of the earliest deadline among the job and its dependents. Infinity if none of them has
-   * a deadline.
+   * Wall time, in milliseconds, of the earliest among the job's own deadline and those inherited from its dependents.
+   * Infinity if there are none.
    */
   get earliestDeadlineMs(): number {
     const { deadlineS } = this.spec;
@@ -195,8 +195,8 @@
 
   /**
    * Returns the wall time, in milliseconds, of the deadline that determines the job's position in the queue. This is
-   * the end of the first step of the value function that can still be met, or Infinity if there is none. A deadline
-   * that can no longer be met must not delay jobs whose deadlines can still be met.
+   * the earliest own or inherited deadline that can still be met, or Infinity if there is none. A deadline that can no
+   * longer be met must not delay jobs whose deadlines can still be met.
    */
   getSchedulingDeadlineMs(wallMs: number): number {
     const minRunTimeMs =
--- a/src/pipeline/pipeline-execution.ts
+++ b/src/pipeline/pipeline-execution.ts
@@ -66,7 +66,10 @@
     return determineEnding(this.pipeline, this.states, ageS);
   }
 
-  /** Replaces the pipeline with a successor in its initial state, and submits it if the old one was being executed. */
+  /**
+   * Replaces the pipeline with a successor in its initial state. If the old pipeline was being executed, submits the
+   * executable members of the successor.
+   */
   replaceWith(successor: Pipeline): void {
     const wasExecuting = this.isExecuting;
     this.pipeline = successor;
--- a/src/pipeline/queue-times.ts
+++ b/src/pipeline/queue-times.ts
@@ -1,12 +1,15 @@
-/** The times since which a job waits for its dependencies, for free capacity, or for the start of its first task. */
+/** The times since which a job's dependencies are done, its tasks wait for free capacity, and no task is allocated. */
 
-/** The queue times of one job. Each scheduling cycle updates them. */
+/** The queue times of one job, which the scheduling cycles update. */
 export class QueueTimes {
   private dependenciesMetAtMs = NaN;
   private pendingFromMs = NaN;
   private starvingFromMs = Infinity;
 
-  /** Wall time, in milliseconds, at which the last dependency was done. NaN if they are not known to be done. */
+  /**
+   * Wall time, in milliseconds, at which the last dependency was done, or at which the job was accepted if that is
+   * later. NaN if the job has no dependencies, or if they are not known to be done.
+   */
   get dependenciesDoneSinceMs(): number {
     return this.dependenciesMetAtMs;
   }
@@ -21,7 +24,7 @@
     return this.starvingFromMs;
   }
 
-  /** Records that the last of the job's dependencies was done at the given wall time in milliseconds. */
+  /** Records that all dependencies of the job are done since the given wall time in milliseconds. */
   recordDependenciesMet(wallMs: number): void {
     this.dependenciesMetAtMs = wallMs;
   }
--- a/src/scheduler/preemptor.ts
+++ b/src/scheduler/preemptor.ts
@@ -141,9 +141,10 @@
    */
   private computeStopCostS(victim: JobAttempt, nowMs: number): number {
     const elapsedRunS = (nowMs - victim.startedMs) / 1000;
-    const deadlineS = getTimeToDeadlineS(victim.job, this.dependencies.wallMs());
+    const timeToDeadlineS = getTimeToDeadlineS(victim.job, this.dependencies.wallMs());
     const wouldMissDeadline =
-      deadlineS >= estimateRemainingRunS(victim, nowMs) && deadlineS < victim.job.progress.expectedRunTimeS;
+      timeToDeadlineS >= estimateRemainingRunS(victim, nowMs) &&
+      timeToDeadlineS < victim.job.progress.expectedRunTimeS;
     return elapsedRunS + (wouldMissDeadline ? MISSED_DEADLINE_PENALTY_S : 0);
   }
 
--- a/src/scheduler/queue-order.ts
+++ b/src/scheduler/queue-order.ts
@@ -11,8 +11,8 @@
   /** Wall time, in milliseconds, since which the job may run. */
   readonly queuedSinceMs: number;
   /**
-   * Wall time, in milliseconds, of the earliest deadline among the job and the jobs that depend on it. Infinity if none
-   * of them has a deadline.
+   * Wall time, in milliseconds, of the earliest among the job's own deadline and those that it inherited from jobs that
+   * depend on it. Infinity if there are none.
    */
   readonly earliestDeadlineMs: number;
   readonly unfinishedTaskCount: number;
@@ -50,7 +50,7 @@
  * can still meet one. After that, jobs are ordered by their effective due time and then by their time in the queue.
  *
  * @param withinGuarantee - the jobs within their team's guarantee
- * @param isStarving - whether a job has waited too long without a running task
+ * @param isStarving - whether a job has waited too long without an allocated task
  * @param getDueMs - wall time in ms of the earliest deadline that a job can still meet, or Infinity if there is none
  */
 export function createQueueComparator<T extends QueuedJob>(
@@ -69,9 +69,10 @@
 
 /**
  * Returns the wall time, in milliseconds, by which a job is ordered. This is its earliest deadline that can still be
- * met. A late job is ordered as if it were due some time after its missed deadline, and a job without a deadline as if
- * it were due some time after it was queued. Such a job comes after the jobs with deadlines before that time, and
- * before all jobs with later deadlines. Each job therefore waits for a bounded amount of other work only.
+ * met. A job that can no longer meet any of its deadlines is ordered as if it were due some time after the earliest of
+ * them, and a job without a deadline as if it were due some time after it was queued. Such a job comes after the jobs
+ * with deadlines before that time, and before all jobs with later deadlines. Each job therefore waits for a bounded
+ * amount of other work only.
  */
 function getEffectiveDueMs(job: QueuedJob, dueMs: number): number {
   if (dueMs < Infinity) return dueMs;
--- a/src/scheduler/unschedulable-requests.ts
+++ b/src/scheduler/unschedulable-requests.ts
@@ -1,11 +1,11 @@
-/** Remembers the requests that found no node in one scheduling cycle, so that similar requests need no search. */
+/** Remembers the requests for which a search found no node, so that similar requests need no search. */
 import type { JobSpec } from '../state/records.js';
 import { fits } from './placement-constraints.js';
 
 /**
- * The requests for which no node had enough free capacity. Free capacity only shrinks during a scheduling cycle.
- * Another task that needs at least as much under the same constraints therefore needs no search. This matters because
- * most of hundreds of waiting jobs are similar.
+ * The requests for which no node had, or could get through preemption, enough free capacity. This capacity only shrinks
+ * during a scheduling cycle or a search for preemptions. Another task that needs at least as much under the same
+ * constraints therefore needs no search. This matters because most of hundreds of waiting jobs are similar.
  */
 export class UnschedulableRequests {
   private readonly specsByConstraints = new Map<string, JobSpec[]>();
--- a/test/pipeline/pipeline.test.ts
+++ b/test/pipeline/pipeline.test.ts
@@ -13,7 +13,7 @@
   type Pipeline,
 } from '../../src/pipeline/pipeline.js';
 
-/** Example 2 of the paper, without its time windows and compensation. */
+/** Example 2 of the InterBase paper, without its time windows and compensation. */
 const TRAVEL_PIPELINE: Pipeline = {
   members: [
     { name: 't1', predecessors: [], predicate: ALWAYS_TRUE },
@@ -58,7 +58,7 @@
   }
 });
 
-test('Example 2: the value function and t0', () => {
+test('Example 2: the value of completion decreases in steps, and the pipeline expires at t0', () => {
   const secondsPerHour = 3600;
   const cases: [ageS: number, value: number][] = [
     [0, 1],
--- a/test/scheduler/node-scoring.test.ts
+++ b/test/scheduler/node-scoring.test.ts
@@ -4,7 +4,7 @@
 import { scoreNodes } from '../../src/scheduler/node-scoring.js';
 import { createJobSpec } from '../fixtures.js';
 
-test('a job that avoids spot nodes gets on-demand nodes first, and any other job gets spot nodes first', () => {
+test('a job that allows spot nodes gets them first, unless it avoids them and gets on-demand nodes first', () => {
   const clusterState = new ClusterState({
     onExited: () => undefined,
     onReleased: () => undefined,
