--- a/src/api/cancellation-handler.ts
+++ b/src/api/cancellation-handler.ts
@@ -24,8 +24,8 @@
   constructor(private readonly dependencies: CancellationHandlerDependencies) {}
 
   /**
-   * Cancels a job. The response contains the final state of the job. Its status is 404 for an unknown job, and 503 if
-   * the cancellation can't be decided now.
+   * Cancels a job. A response with status 200 contains the final state of the job. The status is 404 for an unknown
+   * job, and 503 if the cancellation can't be decided now.
    */
   async cancel(uid: string): Promise<HttpResponse> {
     if (!isJobUid(uid)) return errorResponse(404, 'no such job');
--- a/src/api/dependency-list-writer.ts
+++ b/src/api/dependency-list-writer.ts
@@ -13,7 +13,7 @@
 
 /** Dependencies of `DependencyListWriter`. */
 export interface DependencyListWriterDependencies {
-  /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
+  /** Limits of the state store: the largest size of a value in bytes, and the most operations in a transaction. */
   readonly storeLimits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
   readonly batcher: TransactionBatcher;
   readonly random: () => number;
@@ -24,8 +24,8 @@
   constructor(private readonly dependencies: DependencyListWriterDependencies) {}
 
   /**
-   * Converts the record to a form that fits and still does once all tasks of the job have completed. A long
-   * dependency list is first written to separate keys, under a name that no other attempt uses.
+   * Converts the record to a form that fits into a value of the state store, even once all tasks of the job have
+   * completed. A long dependency list is first written to separate keys, under an id that no other submission uses.
    */
   async fitToStore(record: JobRecord): Promise<FittedRecord> {
     const { storeLimits, batcher, random } = this.dependencies;
--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -42,8 +42,9 @@
   constructor(private readonly dependencies: JobReaderDependencies) {}
 
   /**
-   * Reads the job as the state store holds it after this call began. Only final states are taken from the replica as it
-   * is. Undefined if the job was never accepted. Throws MalformedJobRecordError.
+   * Reads the job as the state store holds it at some time after this call began. Only final states are taken from the
+   * replica without a read of the store. Undefined if the job was never accepted. Throws MalformedJobRecordError if the
+   * stored value is not a job record.
    */
   async read(uid: string): Promise<StoredJob | undefined> {
     const { replica } = this.dependencies;
@@ -56,12 +57,12 @@
     const keyValue = replica.get(key);
     if (!keyValue) return undefined;
     const record = this.decode(uid, keyValue);
-    // A value is stored, so the job must not be reported as unknown or as having any state.
+    // A value is stored, so the job must not be reported as unknown. Its state can't be told from the value either.
     if (!record) throw new MalformedJobRecordError(key);
     return { record, keyValue };
   }
 
-  /** Whether the job was accepted before this call. */
+  /** Whether the job is accepted, according to a read of the state store that starts now. */
   async isAccepted(uid: string): Promise<boolean> {
     await this.dependencies.replica.linearizableRead();
     return this.dependencies.replica.get(jobKey(uid)) !== undefined;
@@ -91,8 +92,8 @@
   }
 
   /**
-   * Decodes the record of a job. The job is cancelled if it or any job that it depends on is cancelled, even before
-   * that is written to its record.
+   * Decodes the record of a job. An open job counts as cancelled if a job that it depends on is cancelled, even before
+   * the cancellation is written to its own record. Undefined if the value is not a job record.
    */
   private decode(uid: string, { value }: KeyValue): JobRecord | undefined {
     const record = decodeJob(value);
--- a/src/api/request-limiter.ts
+++ b/src/api/request-limiter.ts
@@ -14,7 +14,7 @@
   readonly log: Logger;
   /** Whether memory is so short that user requests are rejected. */
   readonly isShortOfMemory: () => boolean;
-  /** Whether this controller can serve users. */
+  /** Whether this controller reports itself as healthy to the load balancer. */
   readonly isHealthy: () => boolean;
 }
 
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Closes the connection after a 503 of a controller that can't serve users, because the load balancer never moves
-   * open connections.
+   * Closes the connection after a 503 of an unhealthy controller, because the load balancer never moves open
+   * connections.
    */
   private closeIfUnhealthy(response: HttpResponse): HttpResponse {
     const shouldClose = response.status === 503 && !this.dependencies.isHealthy();
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -31,7 +31,7 @@
   readonly replica: StateReplica;
   readonly batcher: TransactionBatcher;
   readonly jobDependencies: Pick<DependencyGraph, 'getStatus'>;
-  /** Limits of the state store: the largest size of a value in bytes, and the most puts in a transaction. */
+  /** Limits of the state store: the largest size of a value in bytes, and the most operations in a transaction. */
   readonly storeLimits: { readonly valueBytes: number; readonly maxTransactionOperations: number };
   readonly random: () => number;
   readonly clock: Clock;
@@ -42,7 +42,7 @@
   readonly isStoreAvailable: () => boolean;
   /** Whether memory is so short that user requests are rejected. */
   readonly isShortOfMemory: () => boolean;
-  /** Whether this controller can serve users. */
+  /** Whether this controller reports itself as healthy to the load balancer. */
   readonly isHealthy: () => boolean;
   /** Routes a worker's heartbeat. A heartbeat that is accepted is answered through `respond`. */
   readonly routeHeartbeat: (heartbeat: Heartbeat, body: string, respond: ResponseCallback) => HeartbeatRoute;
@@ -67,13 +67,13 @@
   /** Handles one request. `respond` is called once, now or later. */
   handleRequest(request: HttpRequest, respond: ResponseCallback): void {
     if (request.path === HEARTBEAT_PATH) return this.handleHeartbeat(request, respond);
-    if (request.path === HEALTH_PATH) return respond(this.healthResponse(request));
+    if (request.path === HEALTH_PATH) return respond(this.createHealthResponse(request));
     if (request.path === SUBMISSIONS_PATH) return this.handleSubmission(request, respond);
     if (request.path.startsWith(`${SUBMISSIONS_PATH}/`)) return this.handleJobRequest(request, respond);
     respond(errorResponse(404, 'no such path'));
   }
 
-  private healthResponse({ method }: HttpRequest): HttpResponse {
+  private createHealthResponse({ method }: HttpRequest): HttpResponse {
     if (method !== 'GET') return errorResponse(405, 'GET only');
     return this.dependencies.isHealthy() ? jsonResponse(200, { status: 'ok' }) : TRY_AGAIN;
   }
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Records how many instances the cloud launched. Fewer than requested mean that the offering has no more instances
-   * for now.
+   * Records how many instances the cloud launched. If there are fewer than requested, the offering has no more
+   * instances for now.
    */
   handleLaunched(
     { requestName, offering, nodeCount }: LaunchRequest,
@@ -89,7 +89,10 @@
     this.offeringBackoff.recordRefusal(offering, reason, nowMs);
   }
 
-  /** Adopts a launch request of an earlier term that is still being carried out, so that its instances are expected. */
+  /**
+   * Adopts a launch request of an earlier term that is still being carried out. Its instances then count as incoming
+   * capacity.
+   */
   adoptPendingLaunch(request: LaunchRequest): void {
     this.pendingLaunches.set(request.requestName, request);
   }
@@ -127,7 +130,10 @@
     return planHeadroom(startObjectives, recentJobs(), [...instanceTypes().values()], wallMs());
   }
 
-  /** Creates the demands of the waiting jobs, limited by the remaining quotas of their teams. */
+  /**
+   * Creates the demands of the waiting jobs, limited by the remaining quotas of their teams. Updates for each job
+   * whether it uses spot instances.
+   */
   private createDemands(waitingJobs: readonly Job[], nowMs: number): CapacityDemand[] {
     const demands: CapacityDemand[] = [];
     const plannedResourcesByTeam = new Map<string, MutableResources>();
@@ -165,7 +171,7 @@
       expectedRunTimeS: job.progress.expectedRunTimeS,
       taskCount,
       allocationsPerZone: job.allocationsPerZone,
-      mayUseOnDemand: job.mayLaunchOnDemand,
+      mayLaunchOnDemand: job.mayLaunchOnDemand,
       avoidsSpot: job.avoidsSpot,
       waitedS: (nowMs - job.queueTimes.pendingSinceMs) / 1000,
       timeToDeadlineS: secondsToDeadline,
--- a/src/autoscaler/capacity-demand.ts
+++ b/src/autoscaler/capacity-demand.ts
@@ -12,14 +12,14 @@
   /** Number of tasks of the job that are, or may be, on nodes, by zone. */
   readonly allocationsPerZone: ReadonlyMap<string, number>;
   /** Whether on-demand instances may be launched for the job. Spot instances may be launched if the job allows them. */
-  readonly mayUseOnDemand: boolean;
+  readonly mayLaunchOnDemand: boolean;
   /** Whether the job avoids spot instances because an interruption would make it late. */
   readonly avoidsSpot: boolean;
   /** Seconds for which the job has waited for capacity. */
   readonly waitedS: number;
-  /** Seconds until the job's deadline. Infinity if it has none. */
+  /** Seconds until the job's deadline. Infinity if the job has no deadline that can still be met. */
   readonly timeToDeadlineS: number;
-  /** Seconds left to start the job's tasks within its start objective. Infinity if it has none or has missed it. */
+  /** Seconds left to start tasks within the job's start objective. Infinity if there is none or it was missed. */
   readonly timeToStartObjectiveS: number;
 }
 
@@ -30,7 +30,7 @@
     expectedRunTimeS: 0,
     taskCount,
     allocationsPerZone: new Map(),
-    mayUseOnDemand: true,
+    mayLaunchOnDemand: true,
     avoidsSpot: false,
     waitedS: 0,
     timeToDeadlineS: Infinity,
--- a/src/autoscaler/capacity-pool.ts
+++ b/src/autoscaler/capacity-pool.ts
@@ -49,7 +49,7 @@
   }
 
   /** The nodes on which demands have reserved capacity. */
-  reservedNodes(): Set<Node> {
+  getReservedNodes(): Set<Node> {
     const nodes = new Set<Node>();
     for (const { isReserved, node } of this.unoccupied) if (isReserved && node) nodes.add(node);
     return nodes;
@@ -73,8 +73,8 @@
   }
 
   /**
-   * The capacity that the demand may reserve. In each zone, the capacity of running tasks that complete in time comes
-   * first.
+   * The capacity in the zones where the job may run. In each zone, the capacity of running tasks that complete in time
+   * comes first. Capacity of running tasks that complete later is left out.
    */
   private *findCandidates({ demand, allocationsPerZone }: Reservation): Iterable<PooledCapacity> {
     const latestReadyS = computeLatestCompletionS(demand);
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Whether one more task can use the capacity. A demand that avoids spot instances does not rely on spot instances
-   * that are not ready yet.
+   * Whether one more task can use the capacity. A demand that avoids spot instances waits for tasks that run on spot
+   * instances, but not for spot instances that are not ready yet.
    */
   canUse(capacity: IncomingCapacity): boolean {
     const { spec, avoidsSpot } = this.demand;
@@ -154,7 +154,10 @@
   }
 }
 
-/** Seconds within which a running task must complete so that the demand waits for its capacity. */
+/**
+ * Seconds within which a running task must complete so that the demand waits for the capacity of that task. -Infinity
+ * if the demand does not wait for running tasks.
+ */
 function computeLatestCompletionS(demand: CapacityDemand): number {
   if (demand.spec.kind === 'service' || demand.waitedS > MAX_OCCUPIED_CAPACITY_WAIT_S) return -Infinity;
   return Math.min(demand.timeToStartObjectiveS, demand.timeToDeadlineS - demand.expectedRunTimeS);
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -105,7 +105,10 @@
   | ListCall
   | { readonly kind: 'catalog' };
 
-/** Calls the cloud within its request rate. Terminations and launches come before a new reading of the list. */
+/**
+ * Calls the cloud within its request rate. Terminations come first, then the catalog, further pages of an instance list
+ * that is being read, launches, and last a new read of the instance list.
+ */
 export class CloudClient extends Actor<Message> {
   private readonly rateLimiter: RateLimiter;
   private readonly pendingLaunches: LaunchRequest[] = [];
@@ -154,7 +157,7 @@
     const { clock, mayCall } = this.dependencies;
     this.cancelTimer?.();
     while (mayCall() && this.rateLimiter.computeWaitMs(1) === 0) {
-      const call = this.nextCall();
+      const call = this.takeNextCall();
       if (!call) break;
       this.rateLimiter.consume(1);
       this.startCall(call);
@@ -163,19 +166,19 @@
     this.cancelTimer = clock.setTimer(waitMs, () => this.send({ kind: 'tick' }));
   }
 
-  /** The most urgent call that is due. */
-  private nextCall(): Call | undefined {
+  /** Takes the most urgent call that is due. The caller has to start it. Undefined if none is due. */
+  private takeNextCall(): Call | undefined {
     const nowMs = this.dependencies.clock.steadyMs();
     return (
-      this.nextTermination() ??
-      this.nextCatalogCall(nowMs) ??
-      this.nextListPage() ??
-      this.nextLaunch() ??
-      this.nextListCall(nowMs)
+      this.takeTermination() ??
+      this.takeCatalogCall(nowMs) ??
+      this.takeListPage() ??
+      this.takeLaunch() ??
+      this.takeListCall(nowMs)
     );
   }
 
-  private nextTermination(): Call | undefined {
+  private takeTermination(): Call | undefined {
     if (this.pendingTerminations.size === 0 || this.isTerminating) return undefined;
     const names = [...this.pendingTerminations].slice(0, MAX_INSTANCES_PER_TERMINATION);
     for (const name of names) this.pendingTerminations.delete(name);
@@ -183,24 +186,24 @@
     return { kind: 'terminate', names };
   }
 
-  private nextCatalogCall(nowMs: number): Call | undefined {
+  private takeCatalogCall(nowMs: number): Call | undefined {
     if (nowMs < this.catalogDueMs) return undefined;
     this.catalogDueMs = nowMs + CATALOG_INTERVAL_MS;
     return { kind: 'catalog' };
   }
 
-  private nextListPage(): Call | undefined {
+  private takeListPage(): Call | undefined {
     const page = this.nextPage;
     this.nextPage = undefined;
     return page;
   }
 
-  private nextLaunch(): Call | undefined {
+  private takeLaunch(): Call | undefined {
     const request = this.pendingLaunches.shift();
     return request && { kind: 'launch', request };
   }
 
-  private nextListCall(nowMs: number): Call | undefined {
+  private takeListCall(nowMs: number): Call | undefined {
     if (nowMs < this.listDueMs) return undefined;
     this.listDueMs = nowMs + INSTANCE_LIST_INTERVAL_MS;
     return { kind: 'list', afterName: '', instances: [], requestedMs: nowMs, pageCount: 1 };
@@ -255,7 +258,8 @@
       onEvent({ kind: 'launched', request, names: decodeLaunchedNames(response.body) });
     else if (response?.status === 503 || response?.status === 400)
       onEvent({ kind: 'launchFailed', request, reason: decodeRefusalReason(response.body) });
-    // Without a response the launch may have been carried out, or may still be. Only the same request may be repeated.
+    // The launch may have been carried out, or may still be. Only a request under the same name may be sent again,
+    // because the cloud carries it out only once.
     else this.pendingLaunches.push(request);
   }
 
@@ -280,7 +284,7 @@
       this.nextPage = { ...call, afterName: lastInstance.name, instances, pageCount: call.pageCount + 1 };
       return;
     }
-    // The list of a large fleet takes many requests, but most of the rate is reserved for launches and terminations.
+    // The list of a large fleet takes many requests, but only a share of the rate is meant for the list.
     const minIntervalMs = (call.pageCount * 1000) / (rates.rps * rates.listShare);
     this.listDueMs = Math.max(this.listDueMs, call.requestedMs + minIntervalMs);
     onEvent({ kind: 'listed', instances, requestedMs: call.requestedMs });
--- a/src/autoscaler/cloud-codec.ts
+++ b/src/autoscaler/cloud-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Encodes and decodes the cloud provider's wire format. This is the only module that knows its paths and field names.
- * All other code works with the types declared here.
+ * Encodes and decodes the cloud provider's wire format. Only this module knows the paths and field names of that
+ * format. All other code works with the types declared here.
  */
 import type { InstanceOffering, LaunchRefusalReason, LaunchRequest } from '@pumicehinge/duties';
 import { INSTANCE_LIST_PAGE_SIZE } from '../constants.js';
@@ -59,7 +59,7 @@
   return `/hosts?${sinceParameter}page=${INSTANCE_LIST_PAGE_SIZE}`;
 }
 
-/** The key that identifies an offering in maps and logs. */
+/** The key that identifies an offering in maps. */
 export const formatOfferingKey = (offering: InstanceOffering): string =>
   `${offering.type}/${offering.zone}/${offering.spot ? 'spot' : 'ordinary'}`;
 
--- a/src/autoscaler/headroom.ts
+++ b/src/autoscaler/headroom.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * Plans the headroom for the job classes with a start objective. Headroom is not idle: tasks that may be preempted at
- * once run on it.
+ * Plans the headroom for the job classes whose services, according to a start objective, must start sooner than a new
+ * instance is ready. Headroom is not idle: tasks that may be preempted at once run on it.
  */
 export function planHeadroom(
   objectives: readonly StartObjective[],
@@ -73,9 +73,9 @@
 }
 
 /**
- * The number of tasks that are expected to arrive while an instance that replaces used headroom starts, but at least
- * the tasks of one average job. It is limited to a few average jobs, because a first wave of arrivals does not
- * repeat.
+ * The number of tasks that the headroom must be enough for. These are the tasks that are expected to arrive, with a
+ * margin, while a new instance starts and replaces the headroom that was used, but at least the tasks of one average
+ * job. The number is limited to the tasks of a few average jobs, because a first wave of arrivals does not repeat.
  */
 function countHeadroomTasks(jobs: readonly RecentJob[], startTimeS: number, wallMs: number): number {
   const meanTasksPerJob = countTasks(jobs) / jobs.length;
--- a/src/autoscaler/incoming-capacity.ts
+++ b/src/autoscaler/incoming-capacity.ts
@@ -13,7 +13,7 @@
   readonly readyInS: number;
   /**
    * Whether a running task holds the capacity. It is not certain when that task completes, so services do not wait for
-   * it.
+   * such capacity.
    */
   readonly isOccupied: boolean;
   /** The node, if the capacity can be used at once. Undefined if it can't be used yet. */
@@ -36,8 +36,8 @@
 
   /**
    * Finds the capacity on on-demand nodes that a service of the rank `prod` can use at once: free resources, and
-   * those of tasks that the service may preempt. Nodes with the least such capacity come first, so that idle nodes
-   * are kept only for tasks that fit nowhere else.
+   * those of tasks that the service may preempt. Nodes with the fewest such CPUs come first, so that idle nodes are
+   * kept only for tasks that fit nowhere else.
    */
   findImmediate(nowMs: number): IncomingCapacity[] {
     const { clusterState, nodeHealth } = this.dependencies;
@@ -93,7 +93,10 @@
   }
 }
 
-/** Whether the node has sent heartbeats and will be given tasks once it is persisted and reconciled. */
+/**
+ * Whether the node's worker has sent a heartbeat, but the node gets no tasks before it is marked as used in the state
+ * store and all attempts on it are known.
+ */
 function isRegistering(node: Node): boolean {
   return node.firstContactMs > -Infinity && (!node.isPersistedAsUsed || !node.isReconciled);
 }
--- a/src/autoscaler/scale-out-planner.ts
+++ b/src/autoscaler/scale-out-planner.ts
@@ -27,7 +27,7 @@
   /** Capacity that becomes available later without a new launch. */
   readonly incomingCapacity: readonly IncomingCapacity[];
   readonly availability: OfferingAvailability;
-  /** The demands for headroom, as if its tasks were waiting. */
+  /** The demands for headroom, as if the tasks expected to use it were waiting. */
   readonly headroomDemands?: readonly CapacityDemand[];
   /** Capacity that can be used at once. Only headroom relies on it, because the waiting tasks found none. */
   readonly immediateCapacity?: readonly IncomingCapacity[];
@@ -42,8 +42,8 @@
 
 /**
  * Plans the launches. Demands first use the incoming capacity. For the remaining tasks, the planner chooses the
- * offering that is cheapest per task and ready in time. If none is ready in time, the price is weighed against the
- * delay. Headroom comes last.
+ * offering that is cheapest per task. If an offering would make a task miss its deadline, the price is weighed against
+ * the delay. Headroom comes last.
  */
 export function planScaleOut(input: ScaleOutInput): ScaleOutResult {
   const { demands, incomingCapacity, availability, headroomDemands = [], immediateCapacity = [] } = input;
@@ -52,7 +52,7 @@
   for (const demand of demands) satisfyDemand(demand, pool, plannedLaunches);
   const headroomPool = new CapacityPool([...immediateCapacity, ...pool.unoccupiedCapacity]);
   for (const demand of headroomDemands) satisfyDemand(demand, headroomPool, plannedLaunches);
-  return { plans: plannedLaunches.plans, headroomNodes: headroomPool.reservedNodes() };
+  return { plans: plannedLaunches.plans, headroomNodes: headroomPool.getReservedNodes() };
 }
 
 /** Reserves capacity for all tasks of the demand, and plans launches for the capacity that the pool lacks. */
@@ -128,7 +128,7 @@
     for (const zone of type.zones) {
       for (const spot of [true, false]) {
         const offering = { type: type.name, zone, spot };
-        if (!spot && !reservation.demand.mayUseOnDemand) continue;
+        if (!spot && !reservation.demand.mayLaunchOnDemand) continue;
         if (!reservation.allowsOffering(offering) || this.availability.isUnavailable(offering)) continue;
         yield offering;
       }
@@ -137,8 +137,8 @@
 }
 
 /**
- * The score of an offering; lower is better. It is the price per task that would use the instance, multiplied by one
- * plus the seconds by which the task would miss its deadline.
+ * The score of an offering; lower is better. It is the price of the instance, divided by the `taskCount` tasks that
+ * would use it, and multiplied by one plus the seconds by which these tasks would miss their deadline.
  */
 function scoreOffering(demand: CapacityDemand, type: InstanceType, spot: boolean, taskCount: number): number {
   const completionS = type.bootS + NODE_START_OVERHEAD_S + demand.expectedRunTimeS;
@@ -146,7 +146,10 @@
   return (computeEffectivePrice(demand, type, spot) / taskCount) * (1 + delayS);
 }
 
-/** The price that scores an offering. A demand that avoids spot instances uses them only if there are no others. */
+/**
+ * The price from which the score of an offering is computed. For a demand that avoids spot instances, a spot instance
+ * has a higher price than an on-demand instance of the same type.
+ */
 function computeEffectivePrice(demand: CapacityDemand, type: InstanceType, spot: boolean): number {
   if (!spot) return type.price;
   return demand.avoidsSpot ? type.price * AVOIDED_SPOT_PRICE_RATIO : type.spotPrice;
--- a/src/autoscaler/spot-policy.ts
+++ b/src/autoscaler/spot-policy.ts
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Whether the job has a deadline and spot instances are interrupted too often for it. All tasks of the job must
-   * complete by its deadline.
+   * Whether the job has a deadline that can still be met, and spot instances are interrupted too often to meet it. One
+   * interruption can make the whole job late, because all its tasks must complete by the deadline.
    */
   private isInterruptionCostly(job: Job): boolean {
     return (
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Whether any spot offering that fits the job is available. On-demand instances of the same type boot no sooner, so
-   * any such offering is good enough.
+   * Whether any spot offering is available whose instances have room for a task of the job. On-demand instances of the
+   * same type boot no sooner, so any such offering is good enough.
    */
   private isSpotAvailable(job: Job, nowMs: number): boolean {
     for (const type of this.dependencies.instanceTypes().values()) {
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -86,7 +86,8 @@
 
   /**
    * Requests that the attempt stop, with `gracePeriodS` seconds to save a checkpoint. A request with a shorter grace
-   * period overrides an earlier one. An attempt whose start was never sent is withdrawn at once.
+   * period overrides an earlier one. An attempt whose start was never sent, or was certainly not executed, is
+   * withdrawn at once.
    */
   requestStop(attempt: Attempt, gracePeriodS: number): void {
     if (attempt.state === 'exited') return;
@@ -99,7 +100,7 @@
     }
   }
 
-  /** Discards the state of an attempt that has ended. Nothing more is sent for it. */
+  /** Discards what is recorded about the stop commands for an attempt that has ended. No more of them are sent. */
   discardAttempt(attempt: Attempt): void {
     this.stopSentMs.delete(attempt);
   }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -125,9 +125,9 @@
   }
 
   /**
-   * Sends the fencing token of this term to a worker that does not know it yet. It also stops the tasks of ended
-   * jobs, because leaders may change faster than workers send heartbeats. The heartbeat may be an old copy, so
-   * nothing else is concluded from it.
+   * Sends the fencing token of this term to a worker that does not know it yet. The response also stops the tasks of
+   * ended jobs, because leaders may change faster than workers send heartbeats. The heartbeat may be an old copy, so
+   * its list of tasks is not applied to the node.
    */
   private handleFirstContact(node: Node | undefined, received: ReceivedHeartbeat): void {
     const { heartbeat, respond } = received;
@@ -135,8 +135,8 @@
     if (node) {
       const nowMs = this.dependencies.nowMs();
       node.recordFirstContact(nowMs);
-      // The responses do not reach the worker. Its lease must also expire on the leader, which would otherwise wait for
-      // the worker's tasks forever.
+      // The worker would know the token by now if responses reached it. Further responses would extend its lease on the
+      // leader, which would then wait forever for the worker's tasks to end.
       if (nowMs - node.firstContactMs > FIRST_CONTACT_WINDOW_MS) return respond(NOT_ACCEPTED);
       node.recordAddress(heartbeat.address);
       if (!node.isPersistedAsUsed) nodeRecords.markUsed(node);
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -104,14 +104,15 @@
   }
 
   /**
-   * Forwards the heartbeat under a new request id each time, so that a former leader's response to it is not passed on.
+   * Forwards the heartbeat to the leader, under a new request id each time, so that the response of a former leader is
+   * not passed on. If no leader is reachable, the heartbeat waits for the next review.
    */
   private forward(heartbeat: PendingHeartbeat): void {
     const requestId = ++this.lastRequestId;
     this.pendingHeartbeats.set(requestId, heartbeat);
     const leader = this.dependencies.getReachableLeader();
     if (leader === undefined) return;
-    // If the channel is full, the next review forwards the heartbeat.
+    // If the message was dropped, the next review forwards the heartbeat.
     if (!this.dependencies.channel.send(leader, { kind: 'relay', id: requestId, body: heartbeat.body }))
       return;
     heartbeat.lastForwardedTo = leader;
@@ -152,10 +153,11 @@
     leader: string | undefined,
     nowMs: number,
   ): void {
-    const isUnanswered =
+    // In both cases no response of the leader can be passed on any more, unless the heartbeat is forwarded again.
+    const mayBeHandledLocally =
       heartbeat.lastForwardedTo === undefined ||
       nowMs - heartbeat.lastForwardedMs >= RELAY_RESPONSE_VALIDITY_MS;
-    if (isUnanswered && this.dependencies.handleLocally(heartbeat.body, heartbeat.respond)) {
+    if (mayBeHandledLocally && this.dependencies.handleLocally(heartbeat.body, heartbeat.respond)) {
       this.pendingHeartbeats.delete(requestId);
     } else if (nowMs - heartbeat.receivedMs >= RELAY_TIMEOUT_MS) {
       this.completePending(requestId, heartbeat, UNAVAILABLE);
--- a/src/workers/heartbeat-router.ts
+++ b/src/workers/heartbeat-router.ts
@@ -1,6 +1,7 @@
 /**
- * Decides where a heartbeat goes that this controller has received: to the leader of this process, to the lease renewal
- * proxy, through the relay to another controller, or back to the worker with the name of a better controller.
+ * Decides what happens to a heartbeat that this controller has received. The heartbeat goes to the leader actor or the
+ * lease renewal proxy of this process, or through the relay to another controller, or its worker is redirected to a
+ * better controller.
  */
 import type { Clock } from '@pumicehinge/runtime';
 import type { Heartbeat } from '../cluster/worker-messages.js';
@@ -80,7 +81,10 @@
     return ACCEPTED;
   }
 
-  /** Handles a heartbeat of the relay in this process if it leads or renews leases. Returns false if it can't. */
+  /**
+   * Handles a heartbeat that waits in the relay, if this controller leads or renews leases by proxy. Returns false if
+   * the heartbeat can't be handled here.
+   */
   handleLocally(body: string, respond: ResponseCallback): boolean {
     const receiver = this.findLocalReceiver();
     const heartbeat = receiver && parseHeartbeat(body);
@@ -89,7 +93,7 @@
     return true;
   }
 
-  /** Name of the leader, if it is alive but refuses connections from this controller. Workers may still reach it. */
+  /** Name of the known leader, if its host refuses connections from this controller. Workers may still reach it. */
   findRefusingLeader(): string | undefined {
     const leader = this.findTrustedLeader();
     return leader !== undefined && this.dependencies.peers.refusesConnections(leader) ? leader : undefined;
--- a/src/workers/lease-renewal-proxy.ts
+++ b/src/workers/lease-renewal-proxy.ts
@@ -37,7 +37,7 @@
   readonly clock: Clock;
   readonly log: Logger;
   /**
-   * Whether the member's host is up but refuses connections from this controller. That does not indicate a partition.
+   * Whether the member's host is up but refuses connections from this controller. There is no partition in that case.
    */
   readonly refusesConnections: (member: string) => boolean;
   /** Steady time in milliseconds of the last message from the member. */
@@ -101,7 +101,7 @@
     super(dependencies.log);
   }
 
-  /** Starts the periodic check whether delegated leases can go back to the leader. The check never stops. */
+  /** Starts the periodic check whether delegated leases can be returned to the leader. The check never stops. */
   start(): void {
     const check = (): void => {
       this.send({ kind: 'check' });
@@ -115,7 +115,7 @@
    * but no message from it arrives.
    */
   shouldRenewLeases(): boolean {
-    const leader = this.knownLeader();
+    const leader = this.getKnownLeader();
     if (!leader || leader.member === this.dependencies.member) return false;
     // If the leader's host refuses connections, it is up, and the workers can reach the leader themselves.
     if (this.dependencies.refusesConnections(leader.member)) return false;
@@ -144,13 +144,13 @@
     }
   }
 
-  private knownLeader(): KnownLeader | undefined {
+  private getKnownLeader(): KnownLeader | undefined {
     const row = this.dependencies.replica.get(LEADER_KEY);
     const record = decodeLeader(row?.value);
     return row && record && { member: record.member, term: record.term, revision: row.modRevision };
   }
 
-  /** Reads the state store, so that the response relies on the leader and the nodes that are recorded now. */
+  /** Reads the state store, so that the response relies on the leader and the nodes that the store holds now. */
   private readStateFor({ heartbeat, respond }: PendingHeartbeat): void {
     const readMs = this.dependencies.clock.steadyMs();
     this.dependencies.replica.linearizableRead().then(
@@ -161,7 +161,7 @@
 
   private handleStateRead(verified: VerifiedHeartbeat): void {
     const { heartbeat, respond } = verified;
-    const leader = this.knownLeader();
+    const leader = this.getKnownLeader();
     if (!leader || !this.mayRenewLease(heartbeat, leader)) return respond(NOT_ENTITLED_RESPONSE);
     if (this.delegatedTerms.get(heartbeat.nodeName) === leader.term) return this.renewLease(verified);
     this.awaitingDelegation.push({ heartbeat, respond });
@@ -189,7 +189,7 @@
    */
   private writeDelegation(): void {
     if (this.isWritingDelegation || this.awaitingDelegation.length === 0) return;
-    const leader = this.knownLeader();
+    const leader = this.getKnownLeader();
     const batch = this.takeBatch();
     if (!leader) {
       for (const { respond } of batch) respond(NOT_ENTITLED_RESPONSE);
@@ -246,11 +246,14 @@
     const commands = createStopCommandsForEndedJobs(heartbeat, this.dependencies.replica);
     // This is checked last, because what was read from the state store is valid only for a moment.
     const isExpired = this.dependencies.clock.steadyMs() - readMs > LEASE_PROXY_READ_VALIDITY_MS;
-    if (isExpired || term === undefined || this.knownLeader()?.term !== term) respond(NOT_ENTITLED_RESPONSE);
+    if (isExpired || term === undefined || this.getKnownLeader()?.term !== term)
+      respond(NOT_ENTITLED_RESPONSE);
     else respond({ status: 200, body: formatJson(encodeCommands(term, commands)) });
   }
 
-  /** Gives the leases back once messages from the leader arrive again and no response can be in flight. */
+  /**
+   * Returns the leases to the leader once the proxy has not been needed for so long that no response can be in flight.
+   */
   private releaseIfIdle(): void {
     const nowMs = this.dependencies.clock.steadyMs();
     const ownRecords = this.listOwnRecords();
--- a/src/workers/relay-redirector.ts
+++ b/src/workers/relay-redirector.ts
@@ -18,9 +18,9 @@
   }
 
   /**
-   * Returns whether to redirect the worker of `node` now. If so, the worker is not redirected again for a period.
-   * `relayCount` is the number of other controllers in its zone that relay heartbeats, and `nowMs` the steady time in
-   * milliseconds.
+   * Returns whether to redirect the worker of `node` now. If so, the worker is not redirected again for at least one
+   * period of REDIRECT_REPEAT_INTERVAL_MS. `relayCount` is the number of other controllers in the worker's zone that
+   * relay heartbeats, and `nowMs` the steady time in milliseconds.
    */
   tryRedirect(node: string, relayCount: number, nowMs: number): boolean {
     // Right after a change of leader the workers' leases are close to expiry, and a redirect costs time.
--- a/test/autoscaler/headroom.test.ts
+++ b/test/autoscaler/headroom.test.ts
@@ -20,7 +20,8 @@
     [[createService(8, 0, 'other')], 3, undefined],
     // The headroom is enough for one average job at least. Old jobs count only for the average.
     [[createService(4, 0), createService(8, 0)], 3, 6],
-    // 30 tasks arrived in the last 3 minutes, and a node takes 15 s to boot and 8 s more: 30 * 23 / 180 * 1.5.
+    // 30 tasks arrived in the last 3 minutes, and a node takes 15 s to boot and 8 s more: 30 * 23 / 180 * 1.5 = 5.75.
+    // That is less than the 38 / 5 = 7.6 tasks of the average job.
     [
       [
         createService(5, 0),
--- a/test/autoscaler/scale-out-planner.test.ts
+++ b/test/autoscaler/scale-out-planner.test.ts
@@ -18,7 +18,7 @@
     expectedRunTimeS: 13,
     taskCount: count,
     allocationsPerZone: new Map(),
-    mayUseOnDemand: true,
+    mayLaunchOnDemand: true,
     avoidsSpot: false,
     waitedS: 0,
     timeToDeadlineS: Infinity,
@@ -69,7 +69,7 @@
     ],
     [
       'nothing is launched if only spot instances may be launched and none is available',
-      [createDemand({ spot: true }, 8, { mayUseOnDemand: false })],
+      [createDemand({ spot: true }, 8, { mayLaunchOnDemand: false })],
       [],
       (offering) => offering.spot,
       [],
--- a/test/workers/codec.test.ts
+++ b/test/workers/codec.test.ts
@@ -3,7 +3,7 @@
 import { formatJson, parseJson } from '../../src/wire/json.js';
 import { decodeHeartbeat } from '../../src/workers/codec.js';
 
-test('integers below 2^64 in heartbeats keep every digit, and malformed heartbeats are rejected', () => {
+test('heartbeats keep every digit of integers below 2^64 and accept unknown task states but no malformed fields', () => {
   const body =
     '{"hearth":"vm-1","address":"10.1.0.1:9000","build":"g8","yard":"a","loaner":true,"tenure":1,' +
     '"tick":18446744073709551615,"baton":9007199254740993,"warningS":null,' +
--- a/test/workers/heartbeat-relay.test.ts
+++ b/test/workers/heartbeat-relay.test.ts
@@ -13,13 +13,14 @@
 
 const MAX_PENDING = 3;
 
+/** Creates a relay that has received one heartbeat. */
 function setUp(random: () => number = () => 0) {
   const clock = new SimulatedClock();
   const cluster = {
     leader: 'c1' as string | undefined,
     refusingLeader: undefined as string | undefined,
     isProxyActive: false,
-    isChannelFull: false,
+    dropsMessages: false,
   };
   const forwarded: { member: string; id: number }[] = [];
   let deliverPeerMessage: (member: string, message: PeerMessage) => void = () => undefined;
@@ -29,7 +30,7 @@
     random,
     channel: {
       send: (member, message) => {
-        if (cluster.isChannelFull) return false;
+        if (cluster.dropsMessages) return false;
         if (message.kind === 'relay') forwarded.push({ member, id: message.id });
         return true;
       },
@@ -52,7 +53,7 @@
   return { clock, cluster, forwarded, responses, relayResponse, sendHeartbeat };
 }
 
-test('a relayed heartbeat gets at most one response, and never one that is no longer valid for the leader', async () => {
+test('a relayed heartbeat gets exactly one response, and never a response of the leader that is too old', async () => {
   type Setup = ReturnType<typeof setUp>;
   const cases: [
     name: string,
@@ -84,7 +85,7 @@
       [[200, 'new']],
     ],
     [
-      'there is no leader, and then a lease renewal proxy',
+      'the leader can no longer be reached, and the lease renewal proxy responds',
       [
         [300, (s) => Object.assign(s.cluster, { leader: undefined, isProxyActive: true })],
         [RELAY_RESPONSE_VALIDITY_MS + 500, () => undefined],
@@ -145,12 +146,12 @@
   assert.equal(responses.length, 3);
 });
 
-test('a heartbeat that did not fit into the channel is forwarded at the next review', async () => {
+test('a heartbeat whose message to the leader was dropped is forwarded at the next review', async () => {
   const { clock, cluster, forwarded, responses, relayResponse, sendHeartbeat } = setUp();
-  cluster.isChannelFull = true;
+  cluster.dropsMessages = true;
   sendHeartbeat();
   assert.equal(forwarded.length, 1);
-  cluster.isChannelFull = false;
+  cluster.dropsMessages = false;
   await clock.runUntil(RELAY_REVIEW_INTERVAL_MS + 1);
   assert.equal(forwarded.length, 2);
   relayResponse(forwarded[1]!.id, 'a');
