--- a/test/golden/cloud-calls.test.ts
+++ b/test/golden/cloud-calls.test.ts
@@ -27,7 +27,7 @@
 const ON_DEMAND_OFFERING: InstanceOffering = { ...SPOT_OFFERING, spot: false };
 const INSTANCE_NAMES = ['vm-000039', 'vm-000040'];
 
-test('request bodies and offering keys are encoded', () => {
+test('launch and termination requests and offering keys are encoded', () => {
   forms.check(
     'rent: spot',
     formatJson(encodeLaunch({ requestName: 'r-12-1', offering: SPOT_OFFERING, nodeCount: 2 })),
@@ -203,7 +203,7 @@
   ['no response', undefined, { kind: 'unknown', isAnswered: false }],
 ];
 
-test('the holder of a role: its requests, and the result of each response', async () => {
+test('the holder of a cloud role: its requests, and the result that it derives from each response', async () => {
   for (const [name, response, result] of LAUNCH_CASES) {
     const caller = new RecordingCaller(() => response);
     assert.deepEqual(await new HttpCloudProvider(caller, 'cloud:1').launch(LAUNCH_REQUEST), result, name);
--- a/test/golden/controller-harness.ts
+++ b/test/golden/controller-harness.ts
@@ -17,7 +17,7 @@
 /** Simulated time within which the controller must respond to a request. */
 const RESPONSE_TIMEOUT_MS = 6_000;
 
-/** The limits of the state store. */
+/** The limits of the state store, as the settings of the controller declare them. */
 export const STATE_STORE_LIMITS: Settings['stateLimits'] = {
   requestsPerSecond: 1_000,
   writesPerSecond: 1_000,
@@ -69,7 +69,7 @@
   readonly calls: string[] = [];
   /** The frames to peers in the order in which they were sent: the name of the peer, a space and the bytes in hex. */
   readonly sentFrames: string[] = [];
-  /** Names of the peers whose hosts refuse connections. */
+  /** Names of the peers whose hosts refuse connections from this controller. */
   readonly peersRefusingConnections = new Set<string>();
   /** The levels of all log entries, in order. */
   readonly logLevels: string[] = [];
--- a/test/golden/external-names.test.ts
+++ b/test/golden/external-names.test.ts
@@ -28,11 +28,14 @@
   return groups;
 }
 
-/** Whether a text is a name or contains it, as a query parameter or, for a name that is not a single word, anywhere. */
+/**
+ * Whether a text equals a name or contains it. A single word is only found inside a text as a query parameter, thus followed
+ * by "=". Any other name, such as a path, may occur anywhere in the text.
+ */
 const containsName = (text: string, name: string): boolean =>
   text === name || (/^\w+$/.test(name) ? new RegExp(`\\b${name}=`).test(text) : text.includes(name));
 
-/** Whether a text contains a name that is not part of a longer word. Used for files that are not TypeScript. */
+/** Whether a text contains a name. A single word must not be part of a longer word. Used for files that are not TypeScript. */
 const containsWord = (text: string, name: string): boolean =>
   /^\w+$/.test(name) ? new RegExp(`\\b${name}\\b`).test(text) : text.includes(name);
 
@@ -73,7 +76,7 @@
   });
 }
 
-test('the list of external names is complete', () => {
+test('the list of external names has at least 30 files and 300 names', () => {
   const nameCount = NAME_GROUPS.reduce((sum, { names }) => sum + names.length, 0);
   assert.ok(NAME_GROUPS.length >= 30, `only ${NAME_GROUPS.length} files in the list`);
   assert.ok(nameCount >= 300, `only ${nameCount} names in the list`);
--- a/test/golden/fake-cloud.ts
+++ b/test/golden/fake-cloud.ts
@@ -18,7 +18,7 @@
   try: number;
 }
 
-/** A worker whose tasks run until the test ends them. */
+/** A worker whose tasks run until the test ends them or a command stops them. */
 export class FakeWorker {
   readonly address: string;
   private readonly tasks = new Map<string, WireTask>();
@@ -53,22 +53,22 @@
   executeCommands(body: string): void {
     const { baton, orders } = JSON.parse(body) as { baton: number; orders: WireCommand[] };
     this.fencingToken = baton;
-    for (const { verb, piece, try: attempt } of orders) {
-      const attemptKey = `${piece}#${attempt}`;
+    for (const { verb, piece, try: attemptNumber } of orders) {
+      const attemptKey = `${piece}#${attemptNumber}`;
       if (verb === 'run' && !this.tasks.has(attemptKey))
-        this.tasks.set(attemptKey, { piece, try: attempt, phase: 'running' });
+        this.tasks.set(attemptKey, { piece, try: attemptNumber, phase: 'running' });
       if (verb === 'clear') this.tasks.delete(attemptKey);
       if (verb === 'stop') this.endTask(piece, 'stopped');
     }
   }
 
   /** Ends all attempts of a task that have not exited yet. */
-  endTask(taskId: string, cause: string): void {
+  endTask(taskName: string, cause: string): void {
     for (const task of this.tasks.values())
-      if (task.piece === taskId && task.phase !== 'exited') Object.assign(task, { phase: 'exited', cause });
+      if (task.piece === taskName && task.phase !== 'exited') Object.assign(task, { phase: 'exited', cause });
   }
 
-  /** The ids of the tasks that have not exited. */
+  /** The names of the tasks that have not exited, one for each attempt. */
   get runningTasks(): string[] {
     return [...this.tasks.values()].filter(({ phase }) => phase !== 'exited').map(({ piece }) => piece);
   }
@@ -83,7 +83,7 @@
   body: JSON.stringify(body),
 });
 
-/** The cloud and the nodes launched in it, all of which run at once. */
+/** The cloud and the workers on its instances. Each instance runs as soon as it is launched. */
 export class FakeCloud {
   readonly workers = new Map<string, FakeWorker>();
   /** Names of instances by the name of their launch request. A repeated request returns the same instances. */
--- a/test/golden/follower-fixture.ts
+++ b/test/golden/follower-fixture.ts
@@ -16,7 +16,7 @@
 import { createJobSpec } from '../fixtures.js';
 import { ControllerHarness } from './controller-harness.js';
 
-/** Time within which a controller has loaded the state store. */
+/** Simulated time within which a controller has loaded its records from the state store. */
 const INITIAL_LOAD_MS = 1_000;
 
 const INSTANCE_TYPES: InstanceType[] = [
@@ -34,6 +34,7 @@
   },
 ];
 
+/** The default fields of the stored jobs. */
 const OPEN_JOB: JobRecord = {
   phase: 'open',
   taskCount: 4,
--- a/test/golden/leader-conversation.test.ts
+++ b/test/golden/leader-conversation.test.ts
@@ -1,4 +1,7 @@
-/** Golden forms of everything that a leader sends while it runs jobs, and of its requests for lease votes. */
+/**
+ * Golden forms of what a leader sends to the state store (except reads), the cloud, workers and peers while it runs jobs, and
+ * of its requests for lease votes.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
@@ -80,14 +83,14 @@
     return this.harness.sendRequest('POST', '/submissions', JSON.stringify(job));
   }
 
-  /** The ids of all running tasks, in ascending order. */
+  /** The names of all running tasks, in ascending order. */
   get runningTasks(): string[] {
     return [...this.cloud.workers.values()].flatMap((worker) => worker.runningTasks).sort();
   }
 
   /** Ends a task on every worker. */
-  endTask(taskId: string, cause: string): void {
-    for (const worker of this.cloud.workers.values()) worker.endTask(taskId, cause);
+  endTask(taskName: string, cause: string): void {
+    for (const worker of this.cloud.workers.values()) worker.endTask(taskName, cause);
   }
 
   /** Whether a transaction that the controller sent to the state store contains the text. */
@@ -156,7 +159,7 @@
       );
   });
 
-test('a leader that the state store does not serve requests votes, then continues from their end offset', async () => {
+test('a leader refused by the state store requests lease votes, then continues from the end offset of the votes', async () => {
   const harness = new ControllerHarness();
   harness.start();
   await harness.advance(5_000);
--- a/test/golden/peer-connection.test.ts
+++ b/test/golden/peer-connection.test.ts
@@ -16,7 +16,7 @@
 const TEST_OPTIONS = { timeout: 20_000 };
 const STATUS_MESSAGE: PeerMessage = { kind: 'status', isEligible: true, relayTarget: 'hearth-1' };
 
-/** A clock whose timers never fire, so that no message is repeated and no timer keeps the process alive after a test. */
+/** A clock whose timers never fire, so that heartbeats are not repeated and no timer keeps the process alive after a test. */
 const STOPPED_CLOCK: Clock = { steadyMs: () => 0, wallMs: () => 0, setTimer: () => () => undefined };
 
 const frameForms = readForms(new URL('./forms/peer-frames.json', import.meta.url));
@@ -42,7 +42,7 @@
   return port;
 }
 
-/** Waits until a condition is met, and fails after a few seconds. */
+/** Waits until a condition is met, and fails after about 5 seconds. */
 async function waitUntil(isMet: () => boolean): Promise<void> {
   for (let attempt = 0; attempt < 500; attempt++) {
     if (isMet()) return;
@@ -87,7 +87,7 @@
 }
 
 test(
-  'a connection starts with the name of the controller, followed by messages',
+  'a connection starts with the name of the controller and a heartbeat, followed by other messages',
   TEST_OPTIONS,
   async (context) => {
     const { transport, observed } = await connectTransport(context);
--- a/test/golden/peer-frame-hex.ts
+++ b/test/golden/peer-frame-hex.ts
@@ -15,7 +15,7 @@
   return encodeFrame(message).toString('hex');
 }
 
-/** Decodes received frames. The result is undefined for each message that a controller ignores. */
+/** Decodes one or more frames. The result contains undefined for each message that a controller ignores. */
 export function decodeFramesHex(hex: string): (PeerMessage | undefined)[] {
   return new FrameReader().feed(Buffer.from(hex, 'hex')).map(decodePeerMessage);
 }
--- a/test/golden/peer-frames.test.ts
+++ b/test/golden/peer-frames.test.ts
@@ -110,7 +110,7 @@
     assert.deepEqual(decodeSingleMessage(forms.getText(name)), expected);
   });
 
-/** Frames of other versions in the wire format, and the decoded message. Undefined if the frame is ignored. */
+/** Frames of other versions in the wire format, and the decoded message, which is undefined if the frame is ignored. */
 const FOREIGN_FRAMES: Record<string, [frame: Record<string, unknown>, expected: PeerMessage | undefined]> = {
   'beat, later field': [{ kind: 'beat', later: 1 }, MESSAGES.beat],
   'counts, odd counts': [
--- a/test/golden/production-forms.test.ts
+++ b/test/golden/production-forms.test.ts
@@ -13,8 +13,9 @@
 
 /**
  * Forms that the code of the version in production (deploy/service.toml) wrote: its record encoders, a leader in its
- * simulation of a day, and its peer connection on real sockets. This version must decode them to the same values. What both
- * versions encode must be the same bytes. The files never change. A later version in production gets its own files.
+ * simulation of a day, and its peer connection on real sockets. This version must decode them to the same values. Values that
+ * both versions encode must be encoded as the same bytes. The files never change. A later version in production gets its own
+ * files.
  */
 const storedForms = readForms(new URL('./forms/production-8544a85e-stored.json', import.meta.url));
 const frameForms = readForms(new URL('./forms/production-8544a85e-frames.json', import.meta.url));
@@ -157,18 +158,23 @@
 });
 
 test('production, completed tasks of a large array', () => {
-  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
-  const finished = [0, 9, TASKS_PER_COMPLETION_SEGMENT + 17, TASKS_PER_COMPLETION_SEGMENT * 2 + 8];
-  const decodedTasks = new CompletionBitmap(tasks);
-  const completedTasks = new CompletionBitmap(tasks);
-  for (const task of finished) completedTasks.add(task);
+  const taskCount = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
+  const completedTaskNumbers = [
+    0,
+    9,
+    TASKS_PER_COMPLETION_SEGMENT + 17,
+    TASKS_PER_COMPLETION_SEGMENT * 2 + 8,
+  ];
+  const decodedTasks = new CompletionBitmap(taskCount);
+  const completedTasks = new CompletionBitmap(taskCount);
+  for (const task of completedTaskNumbers) completedTasks.add(task);
   for (const segment of [0, 1, 2]) {
     const text = getStoredText(`finished tasks, part ${segment}`);
     records.decodeCompletionSegment(decodedTasks, segment, text);
     assert.equal(records.encodeCompletionSegment(completedTasks, segment), text);
   }
-  assert.equal(decodedTasks.completedCount, finished.length);
-  for (const task of finished) assert.ok(decodedTasks.has(task), String(task));
+  assert.equal(decodedTasks.completedCount, completedTaskNumbers.length);
+  for (const task of completedTaskNumbers) assert.ok(decodedTasks.has(task), String(task));
 });
 
 const KEYS: Record<string, string> = {
@@ -245,7 +251,7 @@
 });
 
 test('every form of the version in production is checked', () => {
-  // The term is covered by leader-conversation.test.ts, which elects a leader.
+  // The record of the term is covered by leader-conversation.test.ts, in which a controller is elected and writes it.
   assert.deepEqual([...checkedStoredNames, 'term'].sort(), Object.keys(storedForms).sort());
   const checkedFrameNames = [...Object.keys(MESSAGES), 'promise, not given', 'name of the controller'];
   assert.deepEqual(Object.keys(frameForms).sort(), checkedFrameNames.sort());
--- a/test/golden/settings.test.ts
+++ b/test/golden/settings.test.ts
@@ -16,6 +16,10 @@
 const PLATFORM_PATH = resolvePath('./forms/platform.toml');
 const OPERATOR_PATH = resolvePath('./forms/operator.json');
 
+/**
+ * The settings in platform.toml and operator.json. Each limit of the state store is the lower one of its current value and the
+ * announced next value.
+ */
 const EXPECTED_SETTINGS: Settings = {
   member: 'hearth-0',
   zone: 'harbour-east',
@@ -167,8 +171,11 @@
       getSettingsErrorMessage(PLATFORM_PATH, writeTemporaryFile('operator.json', text)),
     ));
 
-/** Valid settings with which the service can't meet its guarantees, and the setting that each warning names. */
-const WEAK_SETTINGS: [overrides: Partial<Settings>, settingNames: string[]][] = [
+/**
+ * Changes to the valid settings, and the names of the settings that the warnings then name. With each change except the empty
+ * one, the service starts but can't meet its guarantees.
+ */
+const INSUFFICIENT_SETTINGS: [overrides: Partial<Settings>, settingNames: string[]][] = [
   [{}, []],
   [{ stateLimits: { ...EXPECTED_SETTINGS.stateLimits, requestsPerSecond: 1 } }, ['state.rps']],
   [{ stateLimits: { ...EXPECTED_SETTINGS.stateLimits, writesPerSecond: 1 } }, ['state.write_rps']],
@@ -184,8 +191,8 @@
   [{ maxCancellationS: 15 }, ['workers.cancel_s']],
 ];
 
-test('warnings about weak settings use the names of the settings file', () => {
-  for (const [overrides, settingNames] of WEAK_SETTINGS) {
+test('warnings about insufficient settings use the names of the settings file', () => {
+  for (const [overrides, settingNames] of INSUFFICIENT_SETTINGS) {
     const warnings = findSettingsWarnings({ ...EXPECTED_SETTINGS, ...overrides });
     assert.deepEqual(
       warnings.map((warning) => warning.split(' is ')[0]),
@@ -194,18 +201,18 @@
   }
 });
 
-/** Runs the program from its source files. */
+/** Runs the program from its source files. `stderrLines` are the lines that it wrote to the standard error stream. */
 function runProgram(...programArguments: string[]): {
   status: number | null;
   stdout: string;
-  lines: string[];
+  stderrLines: string[];
 } {
   const command = ['--import', 'tsx', resolvePath('../../src/main.ts'), ...programArguments];
   const { status, stdout, stderr } = spawnSync(process.execPath, command, {
     encoding: 'utf8',
     timeout: 60_000,
   });
-  return { status, stdout, lines: stderr.trimEnd().split('\n') };
+  return { status, stdout, stderrLines: stderr.trimEnd().split('\n') };
 }
 
 test('exit code 2: the operator settings file is missing or malformed', () => {
@@ -213,11 +220,11 @@
     [join(temporaryDirectory, 'missing.json'), /missing\.json: ENOENT$/],
     [writeTemporaryFile('broken.json', '{'), /broken\.json: /],
   ] as const) {
-    const { status, lines } = runProgram('--config', PLATFORM_PATH, '--operator', path);
+    const { status, stderrLines } = runProgram('--config', PLATFORM_PATH, '--operator', path);
     assert.equal(status, 2);
-    assert.equal(lines.length, 1, lines.join('\n'));
-    assert.match(lines[0]!, /^pumicehinge-controller: /);
-    assert.match(lines[0]!, message);
+    assert.equal(stderrLines.length, 1, stderrLines.join('\n'));
+    assert.match(stderrLines[0]!, /^pumicehinge-controller: /);
+    assert.match(stderrLines[0]!, message);
   }
 });
 
@@ -231,9 +238,9 @@
       `${addressSetting} = "127.0.0.1:0"`,
       `${addressSetting} = "192.0.2.1:8080"`,
     );
-    const { status, lines } = runProgram('--config', writeTemporaryFile('foreign-address.toml', text));
-    assert.equal(status, 3, lines.join('\n'));
-    const { level, member, err } = JSON.parse(lines.at(-1)!) as {
+    const { status, stderrLines } = runProgram('--config', writeTemporaryFile('foreign-address.toml', text));
+    assert.equal(status, 3, stderrLines.join('\n'));
+    const { level, member, err } = JSON.parse(stderrLines.at(-1)!) as {
       level: number;
       member: string;
       err: { code: string };
--- a/test/golden/state-calls.test.ts
+++ b/test/golden/state-calls.test.ts
@@ -12,8 +12,8 @@
 const LARGE_INTEGER = 2n ** 63n + 1n;
 const STORE_LIMITS = { requestsPerSecond: 1_000, writesPerSecond: 1_000, maxTransactionOperations: 12 };
 
-/** Time after which the client's rate limiters hold their full budgets. */
-const RATE_BUDGET_FILL_MS = 1_000;
+/** Simulated time in which the client's rate limiters accumulate tokens for all requests of a test. */
+const TOKEN_REFILL_MS = 1_000;
 
 /** Creates a client of a state store that gives the same response to each request. */
 async function createClient(response: HttpResponse | undefined) {
@@ -26,13 +26,13 @@
     limits: STORE_LIMITS,
     controllerCount: 3,
   });
-  await clock.runUntil(RATE_BUDGET_FILL_MS);
+  await clock.runUntil(TOKEN_REFILL_MS);
   return { caller, client };
 }
 
 const createOkResponse = (body: string): HttpResponse => ({ status: 200, body });
 
-/** Each call of the client: the response of the state store, and the expected result. */
+/** Each call of the client except transactions: the response of the state store, and the expected result. */
 const CALL_CASES: [
   name: string,
   response: HttpResponse,
@@ -148,7 +148,7 @@
   }
 });
 
-test('a rejected request or a malformed response throws a StoreError with its status', async () => {
+test('a watch throws a StoreError with the status of a rejection, or status 0 after a malformed response', async () => {
   const cases: [response: HttpResponse, status: number][] = [
     [{ status: 410, body: '{}' }, 410],
     [{ status: 503, body: '{}' }, 503],
--- a/test/golden/stored-cluster.test.ts
+++ b/test/golden/stored-cluster.test.ts
@@ -116,9 +116,9 @@
   forms.check('catalog: value', formatJson(writtenOperations[0]!.value));
   const value = parseJson(forms.getText('catalog: value'));
   assert.deepEqual(decodeInstanceTypes(value), INSTANCE_TYPES);
-  const storedRow = { key: forms.getText('catalog: key'), value, stamp: 1 };
+  const storedKeyValue = { key: forms.getText('catalog: key'), value, modRevision: 1 };
   const nextCatalog = new InstanceCatalog({
-    replica: { get: () => storedRow } as unknown as StateReplica,
+    replica: { get: () => storedKeyValue } as unknown as StateReplica,
     commit,
     log,
   });
@@ -170,6 +170,7 @@
 ];
 
 for (const [name, decoded, expected] of DECODING_CASES)
-  test(`decoding of other values, ${name}`, () => assert.deepEqual(decoded, expected));
+  test(`decoding of malformed values and values of other versions, ${name}`, () =>
+    assert.deepEqual(decoded, expected));
 
 forms.addCompletenessTest();
--- a/test/golden/stored-duties.test.ts
+++ b/test/golden/stored-duties.test.ts
@@ -41,13 +41,13 @@
 
 test('the next fencing token is higher than any that was granted', () => {
   const value = parseJson(forms.getText('token: first'));
-  const cases: [row: Parameters<typeof nextFencingToken>[0], expectedToken: number][] = [
+  const cases: [stored: Parameters<typeof nextFencingToken>[0], expectedToken: number][] = [
     [undefined, 1],
     [{ value, modRevision: 90 }, 2],
     [{ value: { token: 'x' }, modRevision: 90 }, 91],
     [{ value: null, modRevision: 90n }, 91],
   ];
-  for (const [row, expectedToken] of cases) assert.equal(nextFencingToken(row), expectedToken);
+  for (const [stored, expectedToken] of cases) assert.equal(nextFencingToken(stored), expectedToken);
 });
 
 const LAUNCH_INTENT: LaunchIntent = {
--- a/test/golden/stored-jobs.test.ts
+++ b/test/golden/stored-jobs.test.ts
@@ -32,7 +32,7 @@
   firstCompletionSegment: '',
 };
 
-/** A job whose description was removed after it ended. */
+/** The fields of a job whose spec was removed after the job ended. */
 const JOB_WITHOUT_SPEC: JobRecord = { ...OPEN_JOB, spec: undefined };
 
 const FULL_SPEC = createJobSpec({
@@ -98,7 +98,7 @@
 
 type StoredFields = Record<string, unknown>;
 
-test('fields that a later version adds to a description are preserved', () => {
+test('fields that a later version adds to the spec of a job are preserved', () => {
   const value = parseJson(forms.getText('job: open service with every field')) as StoredFields;
   const valueWithLaterFields = {
     ...value,
@@ -112,7 +112,7 @@
   assert.equal(decoded.spec.team, FULL_SPEC.team);
 });
 
-test('a value with a required field that is missing or of another type is not decoded', () => {
+test('a job with a required field that is missing or of another type is not decoded', () => {
   const value = parseJson(forms.getText('job: open service with every field')) as StoredFields;
   const spec = value.s as StoredFields;
   for (const field of ['p', 'n', 't', 'x', 's']) {
@@ -122,18 +122,18 @@
   }
   for (const field of Object.keys(spec)) {
     const { [field]: _removed, ...incomplete } = spec;
-    assert.equal(decodeJob({ ...value, s: incomplete }), undefined, `description without ${field}`);
+    assert.equal(decodeJob({ ...value, s: incomplete }), undefined, `spec without ${field}`);
     assert.equal(
       decodeJob({ ...value, s: { ...spec, [field]: { a: 1 } } }),
       undefined,
-      `${field} of another type`,
+      `spec, ${field} of another type`,
     );
   }
 });
 
 test('omitted optional fields of a job are decoded as their defaults', () => {
   const value = parseJson(forms.getText('job: some tasks finished')) as StoredFields;
-  const { u: _successor, d: _done, ...incomplete } = value;
+  const { u: _isSuccessorRunning, d: _firstCompletionSegment, ...incomplete } = value;
   assert.deepEqual(decodeJob(incomplete), { ...OPEN_JOB, memberStates: 'E' });
 });
 
@@ -152,9 +152,9 @@
     forms.check(`bytes: ${name}`, String(maxJobBytes(JOBS[name]!)));
 });
 
-test('completed tasks: each segment of a large array', () => {
-  const tasks = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
-  const finished = [
+test('completed tasks: each segment of a large array is encoded and decoded', () => {
+  const taskCount = TASKS_PER_COMPLETION_SEGMENT * 2 + 9;
+  const completedTaskNumbers = [
     0,
     1,
     9,
@@ -162,20 +162,20 @@
     TASKS_PER_COMPLETION_SEGMENT + 17,
     TASKS_PER_COMPLETION_SEGMENT * 2 + 8,
   ];
-  const completedTasks = new CompletionBitmap(tasks);
-  for (const task of finished) completedTasks.add(task);
-  const decodedTasks = new CompletionBitmap(tasks);
+  const completedTasks = new CompletionBitmap(taskCount);
+  for (const task of completedTaskNumbers) completedTasks.add(task);
+  const decodedTasks = new CompletionBitmap(taskCount);
   for (const segment of [0, 1, 2]) {
     const formName = `finished tasks, part ${segment}`;
     forms.check(formName, encodeCompletionSegment(completedTasks, segment));
     decodeCompletionSegment(decodedTasks, segment, forms.getText(formName));
   }
-  forms.check('finished tasks, none', encodeCompletionSegment(new CompletionBitmap(tasks), 0));
-  for (let task = 0; task < tasks; task++)
-    assert.equal(decodedTasks.has(task), finished.includes(task), String(task));
+  forms.check('finished tasks, none', encodeCompletionSegment(new CompletionBitmap(taskCount), 0));
+  for (let task = 0; task < taskCount; task++)
+    assert.equal(decodedTasks.has(task), completedTaskNumbers.includes(task), String(task));
 });
 
-test('a dependency list that is too long for one value is split', () => {
+test('a dependency list that is too long for one value is split, and read back from its parts', () => {
   const uids = ['job-000001', 'job-000002', 'job-000003', 'job-4', 'job-0000000005'];
   const parts = splitByEncodedSize(uids, 40);
   parts.forEach((part, index) => forms.check(`dependency list, part ${index}`, formatJson(part)));
--- a/test/golden/user-answers.test.ts
+++ b/test/golden/user-answers.test.ts
@@ -57,7 +57,7 @@
     typeof body === 'string' || body === undefined ? body : JSON.stringify(body),
   );
 
-/** Requests that a controller serves. Each test starts a new controller. */
+/** Requests to a controller that the state store serves, whether they succeed or not. Each test starts a new controller. */
 const REQUESTS: Record<string, UserRequest> = {
   healthy: ['GET', '/healthz'],
   'job accepted': createSubmitRequest(),
@@ -232,7 +232,7 @@
   assert.match(responseText, CLOSE_HEADER_PATTERN);
 });
 
-test('too many users are waiting: further users are told to retry later', async () => {
+test('too many user requests are in progress: further users are told to retry later', async () => {
   const harness = await startFollower();
   harness.stateStore.drawDelayMs = () => 60_000;
   const waitingRequests = Array.from({ length: MAX_USER_REQUESTS_IN_PROGRESS }, () =>
--- a/test/golden/worker-answers.test.ts
+++ b/test/golden/worker-answers.test.ts
@@ -129,7 +129,7 @@
   assert.equal(writes.length, 2);
 });
 
-test('a leader that the state store does not serve receives the cancellations and the lease votes', async () => {
+test('the state store serves no controller: a follower answers vote requests with cancellations and lease votes', async () => {
   const harness = await startFollower();
   harness.stateStore.refusedCallers.add('*');
   await harness.advance(4_000);
--- a/test/golden/worker-wire.test.ts
+++ b/test/golden/worker-wire.test.ts
@@ -88,7 +88,7 @@
   ['of a later version', 'unknown'],
 ];
 
-/** Heartbeats in the wire format, and as they are decoded. Undefined if the heartbeat is malformed. */
+/** Heartbeats in the wire format, and the decoded heartbeat, which is undefined if the text is malformed. */
 const HEARTBEAT_CASES: [text: string, expected: Heartbeat | undefined][] = [
   [`{${COMMON_FIELDS},"warningS":null,"pieces":[]}`, HEARTBEAT],
   [`{${COMMON_FIELDS},"pieces":[]}`, HEARTBEAT],
--- a/test/layers.test.ts
+++ b/test/layers.test.ts
@@ -3,7 +3,10 @@
 import { dirname, join, normalize } from 'node:path';
 import { test } from 'node:test';
 
-/** The layers of docs/architecture.md, from top to bottom. A module may import only from its own layer and those below. */
+/**
+ * The layers of docs/architecture.md, from top to bottom. A module may import only from its own layer and those below.
+ * Imports by and of modules that belong to no layer, such as src/constants, are not checked.
+ */
 const LAYERS = [
   'src/main.ts',
   'src/controller.ts',
@@ -46,7 +49,7 @@
         upwardImports.push(`${module} imports ${imported}`);
     }
   assert.deepEqual(upwardImports, []);
-  assert.ok(checkedCount > 400, `only ${checkedCount} imports found`);
+  assert.ok(checkedCount > 400, `only ${checkedCount} imports between layered modules found`);
 });
 
 test('packages do not import from src', () => {
