--- a/src/controller.ts
+++ b/src/controller.ts
@@ -30,7 +30,10 @@
 import { HeartbeatRouter } from './workers/heartbeat-router.js';
 import { LeaseRenewalProxy } from './workers/lease-renewal-proxy.js';
 
-/** What a controller needs from its environment. The program provides real sockets and clocks, a simulation simulated ones. */
+/**
+ * What a controller needs from its environment. The program provides real sockets and clocks, and a simulation provides
+ * simulated ones.
+ */
 export interface ControllerEnvironment {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -38,7 +41,7 @@
   readonly random: () => number;
   /** When this process started, in milliseconds on the steady clock. */
   readonly processStartMs: number;
-  /** Returns how many bytes of heap and buffers are in use. */
+  /** Returns the size of the heap and of the buffers outside it, in bytes. */
   readonly measureUsedBytes: () => number;
   /** The client for calls to the state store and the cloud. */
   readonly httpClient: HttpClient;
@@ -50,8 +53,9 @@
 }
 
 /**
- * A controller. It serves the API for users and workers, and it runs the leader while it holds a term. The parts register
- * their listeners when they are created, so the constructor determines the order in which they receive changes and messages.
+ * A controller. It serves the API for users and workers, and it acts as the leader during the terms for which it is elected.
+ * The parts register their listeners when they are created, so the constructor determines the order in which they receive
+ * changes and messages.
  */
 export class Controller {
   private readonly storeClient: StoreClient;
@@ -91,7 +95,7 @@
     this.replica.onChange((change) => this.leadership.leader?.send({ kind: 'keyChanged', change }));
   }
 
-  /** Starts watching the state store, the election and all periodic work. */
+  /** Starts the replica of the state store, the election and the periodic work of the other parts. */
   start(): void {
     void this.replica.run();
     this.election.start();
@@ -122,7 +126,7 @@
     });
   }
 
-  /** Creates the graph of job dependencies. It is updated before any other listener receives a change of a job. */
+  /** Creates the graph of job dependencies. The graph is updated before any other listener receives a change of a job. */
   private createJobDependencies(): DependencyGraph {
     const getValue = (key: string): unknown => this.replica.get(key)?.value;
     const graph = new DependencyGraph((uid) => decodeJobDependencies(getValue(jobKey(uid)), getValue));
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -42,7 +42,7 @@
   constructor(
     address: string,
     maxResponseBytes: number,
-    /** Called when a call has ended and when the connection is closed. */
+    /** Called after each response, and at least once when the connection fails, is closed or is evicted. */
     private readonly onReleased: (connection: ClientConnection, isReusable: boolean) => void,
   ) {
     this.parser = new HttpParser('response', maxResponseBytes);
@@ -181,8 +181,9 @@
     for (const connection of this.connections) connection.close();
   }
 
+  /** Closes the connections that have been idle for longer than `POOL_IDLE_TIMEOUT_MS`. */
   closeIdleConnections(nowMs: number): void {
-    // The connection is removed from the list here because the `close` event of its socket comes only after this loop.
+    // Each connection is removed from the list here because the `close` event of its socket comes only after this loop.
     while (
       this.idleConnections.length > 0 &&
       nowMs - this.idleConnections[0]!.idleSinceMs > POOL_IDLE_TIMEOUT_MS
@@ -205,7 +206,7 @@
       this.budget.markInUse(connection);
       const call = this.queuedCalls.shift()!;
       const rejectCall = call.reject;
-      // A call that timed out leaves its connection in an unknown state, so the connection is closed too.
+      // A call that timed out leaves its connection in an unknown state, so the connection is closed when its call is rejected.
       call.reject = (error) => {
         rejectCall(error);
         connection.close();
@@ -262,8 +263,8 @@
   }
 
   /**
-   * Sends a request and resolves with its response. Rejects with an `HttpCallError` if the connection fails, if the timeout expires
-   * or if too many calls wait for a connection.
+   * Sends a request and resolves with its response. Rejects with an `HttpCallError` if the connection fails, the response is
+   * malformed or too large, the timeout expires, too many calls wait for a connection, or no connection may be opened for them.
    */
   call(
     address: string,
--- a/src/http/message.ts
+++ b/src/http/message.ts
@@ -14,9 +14,9 @@
 export interface HttpResponse {
   status: number;
   body: string;
-  /** Value of the `Retry-After` header in seconds. */
+  /** Value of the `Retry-After` header in seconds. Only handlers set it; the client ignores the header. */
   retryAfterS?: number;
-  /** Whether the server closes the connection after this response. */
+  /** Set by a handler to make the server close the connection after this response. */
   closesConnection?: boolean;
 }
 
@@ -31,7 +31,7 @@
  */
 export type HttpCallFailure = 'unsent' | 'unclear';
 
-/** A call that ended without a response. */
+/** A call that ended without a usable response. */
 export class HttpCallError extends Error {
   constructor(
     readonly failure: HttpCallFailure,
@@ -41,7 +41,7 @@
   }
 }
 
-/** The response exceeded the size limit of the client. The request was executed. */
+/** A call whose response exceeded the size limit of the client. The request was executed. */
 export class ResponseTooLargeError extends HttpCallError {
   constructor(reason: string) {
     super('unclear', reason);
@@ -50,7 +50,10 @@
 
 /** An HTTP client. The real one uses sockets, and tests use one with a simulated network. */
 export interface HttpClient {
-  /** Sends a request and resolves with its response. Rejects with an `HttpCallError` if none arrives within `timeoutMs`. */
+  /**
+   * Sends a request and resolves with its response. Rejects with an `HttpCallError` if the call fails or if no response arrives
+   * within `timeoutMs`.
+   */
   call(
     address: string,
     method: string,
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -50,7 +50,7 @@
   return header;
 }
 
-/** The part of a message that the parser expects next. */
+/** The part of a message that the parser reads next. */
 type Stage = 'head' | 'fixedLengthBody' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer';
 
 /**
@@ -64,6 +64,7 @@
   /** Size of the fixed-length body or of the current chunk, in bytes. */
   private expectedBytes = 0;
   private chunks: Buffer[] = [];
+  /** Total size of the chunks whose size lines have been read, in bytes. */
   private bodyBytes = 0;
   private trailerBytes = 0;
 
@@ -190,14 +191,14 @@
 
   private addHeader(headers: Map<string, string>, line: string): void {
     const [name, value] = parsedHeaderLines.get(line) ?? parseHeaderLine(line);
-    // Two lengths, or a length together with chunks, allow request smuggling, where one message is hidden inside another.
-    // `startBody` rejects the second case.
+    // Two Content-Length headers, or Content-Length together with Transfer-Encoding, allow request smuggling, where one
+    // message is hidden inside another. `startBody` rejects the combination of the two headers.
     if (headers.has(name) && (name === 'content-length' || name === 'transfer-encoding' || name === 'host'))
       throw new HttpSyntaxError(400, `repeated ${name} header`);
     headers.set(name, value);
   }
 
-  /** Determines how the body is delimited. Returns the message if it has no body. */
+  /** Determines how the body is delimited. Returns the message if its headers announce no body. */
   private startBody(headers: Map<string, string>): RawMessage | undefined {
     const encoding = headers.get('transfer-encoding');
     const length = headers.get('content-length');
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -50,14 +50,17 @@
   };
 }
 
-/** An accepted connection. It handles one request at a time, while later bytes wait in the socket. */
+/**
+ * An accepted connection. It handles one request at a time. Requests that have already been parsed wait in `pendingRequests`,
+ * and later bytes wait in the socket.
+ */
 class ServerConnection {
   private readonly parser = new HttpParser('request', MAX_BODY_BYTES);
   private readonly pendingRequests: RawMessage[] = [];
   private isHandlingRequest = false;
   /** Whether the client has ended its side of the connection. */
   private isHalfClosed = false;
-  /** When the last request began to arrive or the last response was sent, on the steady clock. */
+  /** When the client connected, the last request began to arrive or the last response was sent, on the steady clock. */
   private lastActivityMs: number;
 
   constructor(
@@ -65,7 +68,7 @@
     private readonly handler: RequestHandler,
     private readonly clock: Clock,
     private readonly log: Logger,
-    /** Called with each response, so that the server keeps the connections in the order of their last use. */
+    /** Called before each response is sent, so that the server keeps the connections in the order of their last use. */
     private readonly onResponse: () => void,
     /** Whether connections are scarce. If so, each one is closed after its response so that another client can connect. */
     private readonly areConnectionsScarce: () => boolean,
@@ -81,7 +84,7 @@
     socket.on('error', () => socket.destroy());
   }
 
-  /** Whether there was no request for so long that the client is most likely gone without having closed the connection. */
+  /** Whether the connection has been inactive for so long that the client most likely disappeared without closing it. */
   isAbandoned(nowMs: number): boolean {
     return !this.isHandlingRequest && nowMs - this.lastActivityMs > ABANDONED_CONNECTION_TIMEOUT_MS;
   }
@@ -102,7 +105,7 @@
   }
 
   private onData(data: Buffer): void {
-    // Only the first byte of a request restarts the timeout, so that a slow sender does not hold a connection forever.
+    // The later bytes of a request do not restart the timeout, so that a slow sender cannot hold a connection forever.
     if (this.parser.isIdle) this.lastActivityMs = this.clock.steadyMs();
     try {
       this.pendingRequests.push(...this.parser.feed(data));
@@ -113,7 +116,8 @@
       this.socket.destroySoon();
       return;
     }
-    // A client that sends more during a request could flood the server, so reading pauses until the response is sent.
+    // A client that sends more data while its request is handled could flood the server, so reading pauses until the response
+    // is sent.
     if (this.isHandlingRequest) this.socket.pause();
     this.handleNextRequest();
   }
@@ -176,7 +180,7 @@
     }
     return false;
   };
-  // If there are fewer connections than clients, no client may keep one while others are refused.
+  // If there are more clients than allowed connections, no client may keep its connection while others are refused.
   const scarcityThreshold = Math.ceil(maxConnections * SCARCE_SOCKETS_SHARE);
   let hasWarned = false;
   const areConnectionsScarce = (): boolean => {
--- a/src/launcher.cjs
+++ b/src/launcher.cjs
@@ -26,6 +26,6 @@
   filename: PROGRAM,
   cachedData: shouldWriteCodeCache ? undefined : readCodeCache(),
 });
-// The cache is written when the process exits, so that it also contains functions that are compiled at their first call.
+// The cache is written when the process exits, so that it also contains the functions that V8 compiled at their first call.
 if (shouldWriteCodeCache) process.on('exit', () => writeFileSync(CODE_CACHE, script.createCachedData()));
 script.runInThisContext()(exports, require, module, PROGRAM, __dirname);
--- a/src/main.ts
+++ b/src/main.ts
@@ -17,7 +17,7 @@
 const EXIT_INVALID_SETTINGS = 2;
 const EXIT_CANNOT_LISTEN = 3;
 
-function memoryUsedBytes(): number {
+function measureUsedBytes(): number {
   const { heapTotal, external } = process.memoryUsage();
   return heapTotal + external;
 }
@@ -42,15 +42,15 @@
     clock,
     // The steady clock starts at 0 together with the process.
     processStartMs: 0,
-    measureUsedBytes: memoryUsedBytes,
+    measureUsedBytes,
     random: () => uniformFloat64(randomGenerator),
     httpClient: new SocketHttpClient(clock, MAX_POOL_CONNECTIONS, Infinity, memoryLimits.maxResponseBytes),
     workerHttpClient: new SocketHttpClient(clock, 1, settings.socketLimits.maxCommandConnections),
     peerTransport: peers,
     log,
   });
-  // A controller does not exit after an unexpected error. After an uncaught exception it resigns, and the next leader
-  // rebuilds its state from the state store.
+  // A controller does not exit after an unexpected error. After an uncaught exception it resigns as leader, and the next
+  // leader rebuilds its state from the state store.
   process.on('uncaughtException', (error) => {
     log.error({ err: error }, 'uncaught exception; resigning leadership');
     controller.resignLeadership();
--- a/src/memory-guard.ts
+++ b/src/memory-guard.ts
@@ -3,13 +3,13 @@
 import type { Clock } from '@pumicehinge/runtime';
 import { MEMORY_CHECK_INTERVAL_MS, MEMORY_RECOVERY_RATIO } from './constants.js';
 
-/** Detects memory pressure. Its start and its end are each logged once. */
+/** Detects memory pressure, and logs when the pressure starts and when it ends. */
 export class MemoryGuard {
   private underPressure = false;
 
   constructor(
     private readonly clock: Clock,
-    /** Returns how many bytes of heap and buffers are in use. */
+    /** Returns the size of the heap and of the buffers outside it, in bytes. */
     private readonly measureUsedBytes: () => number,
     /** Memory pressure starts above this limit in bytes. It ends at `MEMORY_RECOVERY_RATIO` times the limit. */
     private readonly limitBytes: number,
@@ -21,7 +21,7 @@
     return this.underPressure;
   }
 
-  /** Checks the memory usage now and then periodically. */
+  /** Checks the memory usage immediately and then every `MEMORY_CHECK_INTERVAL_MS`. */
   start(): void {
     this.updatePressure();
     this.clock.setTimer(MEMORY_CHECK_INTERVAL_MS, () => this.start());
--- a/src/settings-warnings.ts
+++ b/src/settings-warnings.ts
@@ -1,4 +1,4 @@
-/** Warnings about settings that are valid but too low. */
+/** Warnings about settings that are valid but too low for the guarantees of the service. */
 import {
   MIN_CLIENT_SOCKETS,
   CANCELLATION_MARGIN_MS,
@@ -42,7 +42,7 @@
   const followerRequestShare = (STATE_RATE_SHARE * (1 - LEADER_REQUEST_RATE_SHARE)) / controllerCount;
   const leaderWriteShare =
     STATE_RATE_SHARE * ((1 - LEADER_WRITE_RATE_SHARE) / controllerCount + LEADER_WRITE_RATE_SHARE);
-  const maxWatchDelayS = (WATCH_WAIT_MS + WATCH_GRACE_MS + CANCELLATION_MARGIN_MS) / 1000;
+  const watchDelayAndMarginS = (WATCH_WAIT_MS + WATCH_GRACE_MS + CANCELLATION_MARGIN_MS) / 1000;
   return [
     ...checkMinimum(
       'state.rps',
@@ -90,7 +90,7 @@
     ...checkMinimum(
       'workers.cancel_s',
       maxCancellationS,
-      roundUp(leaseDurationS + maxWatchDelayS + heartbeatIntervalS),
+      roundUp(leaseDurationS + watchDelayAndMarginS + heartbeatIntervalS),
       'in an outage, cancelled tasks run until their lease expires',
     ),
   ];
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -36,13 +36,13 @@
   startObjectives: StartObjective[];
   /** Seconds between two heartbeats of a worker. */
   heartbeatIntervalS: number;
-  /** Seconds for which the lease of a worker lasts after it was renewed. */
+  /** Seconds for which the lease of a worker lasts after each renewal. */
   leaseDurationS: number;
   /** Seconds within which the tasks of a cancelled job must have ended. */
   maxCancellationS: number;
   /**
-   * Limits of the state store. Each one is the lower of the current limit and the announced limit, because what is written
-   * must fit both.
+   * Limits of the state store. Each one is the lower of the current limit and the announced limit, because stored data must fit
+   * both.
    */
   stateLimits: {
     requestsPerSecond: number;
@@ -50,7 +50,7 @@
     valueBytes: number;
     maxTransactionOperations: number;
   };
-  /** Limit of the requests per second to the cloud, and the seconds by which its list of machines may be out of date. */
+  /** Maximum requests per second to the cloud, and the maximum age of its list of machines in seconds. */
   cloudLimits: { rps: number; maxListLagS: number };
   socketLimits: SocketLimits;
   /** Bytes of memory that this process may use. */
@@ -68,8 +68,8 @@
 /** A settings file that is missing or invalid. The message is one line for the operator. */
 export class SettingsError extends Error {}
 
-/** Limits of the state store as they stand in the settings file of the platform. */
-interface StateLimitsFile {
+/** Limits of the state store in the settings file of the platform. */
+interface StateLimitsSection {
   rps: number;
   write_rps: number;
   value_kb: number;
@@ -90,13 +90,13 @@
     teams?: { name: string; cpus: number; cpus_max: number; gpus: number; gpus_max: number }[];
     objectives?: { kind: string; class?: string; share?: number; times?: number; within_s?: number }[];
     workers: { report_s: number; lease_s: number; cancel_s: number };
-    state: StateLimitsFile & { next?: Partial<StateLimitsFile> };
+    state: StateLimitsSection & { next?: Partial<StateLimitsSection> };
     cloud: { rps: number; list_lag_s: number };
     quota: { max_connections: number; mem_mb?: number };
   };
 }
 
-/** Validates the content of a settings file and fills in defaults. */
+/** Validates the content of a settings file and fills in defaults. Throws a `SettingsError` if the content is invalid. */
 function validateSettings<T>(validate: ValidateFunction, value: unknown, file: string): T {
   if (validate(value)) return value as T;
   const firstError = validate.errors?.[0];
@@ -137,7 +137,7 @@
   );
   const deployment = platform.deployment;
   /** Returns the lower of the current and the announced limit. */
-  const tightestLimit = (limit: keyof StateLimitsFile): number =>
+  const tightestLimit = (limit: keyof StateLimitsSection): number =>
     Math.min(deployment.state[limit], deployment.state.next?.[limit] ?? Infinity);
   return {
     member: platform.member,
--- a/src/sizing.ts
+++ b/src/sizing.ts
@@ -1,4 +1,4 @@
-/** Derives the limits of a controller from its size, which the settings give. All functions are pure. */
+/** Divides the sockets and the memory that the settings grant to a controller. All functions are pure. */
 import {
   RESPONSE_MEMORY_SHARE,
   MAX_RESPONSE_BYTES,
@@ -21,8 +21,8 @@
 }
 
 /**
- * Divides the sockets of a controller. Some are reserved for its calls to other services and for its peers, but if there are
- * few sockets, only a limited share of them.
+ * Divides the sockets of a controller. Some are reserved for its calls to other services and for its peers. If there are few
+ * sockets, the number of reserved sockets is limited to a share of them.
  */
 export function divideSockets(maxConnections: number): SocketLimits {
   const reservedSockets = Math.min(RESERVED_SOCKETS, Math.ceil(maxConnections * MAX_RESERVED_SOCKETS_SHARE));
@@ -43,7 +43,10 @@
   maxPeerBufferBytes: number;
 }
 
-/** Divides the memory that remains for data beside the runtime itself, whose size this program cannot influence. */
+/**
+ * Divides the memory that remains for data. The rest is for the runtime itself, whose size this program cannot influence. At
+ * least a quarter of the memory counts as memory for data.
+ */
 export function divideMemory(memoryBytes: number, peerCount: number): MemoryLimits {
   const dataBytes = Math.max(memoryBytes - PROCESS_BASE_BYTES, memoryBytes / 4);
   const responseShareBytes = Math.floor(dataBytes * RESPONSE_MEMORY_SHARE);
--- a/src/wire/json.ts
+++ b/src/wire/json.ts
@@ -4,7 +4,7 @@
 /** An integer in a message, from 0 to 2^64 - 1. It is a bigint only if a number would lose precision. */
 export type WireInt = number | bigint;
 
-/** Texts without such a run of digits contain no integer beyond 2^53. */
+/** A text without a run of 16 digits contains no integer beyond 2^53 that is written out in digits. */
 const LONG_DIGITS = /\d{16}/;
 
 function parseNumber(text: string): number | bigint {
@@ -26,7 +26,7 @@
   return Object.values(value).some(hasBigint);
 }
 
-/** Formats a value as JSON. Bigints become integers. */
+/** Formats a value as JSON. Bigints become integers, and undefined becomes `null`. */
 export function formatJson(value: unknown): string {
   return (hasBigint(value) ? stringify(value) : JSON.stringify(value)) ?? 'null';
 }
@@ -36,7 +36,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Whether the value is an integer that may stand in a message, from 0 to 2^64 - 1. */
+/** Whether the value is an integer that a message may contain. The upper limit of 2^64 - 1 is checked only for bigints. */
 export function isWireInt(value: unknown): value is WireInt {
   if (typeof value === 'bigint') return value >= 0n && value < 1n << 64n;
   return typeof value === 'number' && Number.isInteger(value) && value >= 0;
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -93,7 +93,7 @@
   }
 });
 
-test('the finished tasks of the largest job fit into values of the state store', () => {
+test('the completion bitmap of the largest job is encoded without loss, in segments that fit into values of the store', () => {
   const bitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
   for (let task = 0; task < MAX_TASKS_PER_JOB; task += 1 + (task % 3)) bitmap.add(task);
   const decodedBitmap = new CompletionBitmap(MAX_TASKS_PER_JOB);
@@ -124,8 +124,8 @@
   assert.equal(settings.operator.idleKeepS, 7);
   assert.equal(settings.operator.useSpot, true);
   // An announced limit applies at once if it is lower than the current limit.
-  const announced = `${PLATFORM_SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
-  const { stateLimits } = loadSettingsFrom(announced);
+  const settingsWithAnnouncedLimits = `${PLATFORM_SETTINGS}\n[deployment.state.next]\nwrite_rps = 7.0\nvalue_kb = 2.0\ntxn_ops = 400\n`;
+  const { stateLimits } = loadSettingsFrom(settingsWithAnnouncedLimits);
   assert.deepEqual(stateLimits, { ...settings.stateLimits, writesPerSecond: 7, valueBytes: 2048 });
   for (const invalidLimit of [
     'txn_ops = 0',
@@ -159,7 +159,7 @@
   rmSync(folder, { recursive: true });
 });
 
-test('malformed or truncated stored values are rejected', () => {
+test('stored values: malformed ones are rejected, and fields of a later version are kept', () => {
   const record = {
     phase: 'open' as const,
     taskCount: 4,
@@ -171,7 +171,7 @@
   };
   const job = encodeJob(record) as Record<string, unknown>;
   assert.deepEqual(decodeJob(job), record);
-  // Fields that another version has added are kept when the value is written again.
+  // Fields that a later version has added to the specification are kept when the job is encoded again.
   const storedSpec = job.s as Record<string, unknown>;
   const jobOfLaterVersion = { ...job, s: { ...storedSpec, later: ['x'] }, other: 1 };
   assert.deepEqual((encodeJob(decodeJob(jobOfLaterVersion)!) as typeof job).s, jobOfLaterVersion.s);
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -128,7 +128,7 @@
 test('server: responses, handler errors, malformed requests and half-closed connections', async () => {
   const server = await startEchoServer();
   const address = getAddress(server);
-  const requestCases: [bytes: string, answer: RegExp][] = [
+  const requestCases: [bytes: string, expectedResponse: RegExp][] = [
     [`GET /a?b=1 HTTP/1.1\r\n${HOST_HEADER}\r\n`, /^HTTP\/1.1 200 .*"path":"\/a","query":"b=1"/s],
     [`GET /throw HTTP/1.1\r\n${HOST_HEADER}\r\n`, /^HTTP\/1.1 503 .*Retry-After: 1/s],
     ['nonsense\r\n\r\n', /^HTTP\/1.1 400 .*Connection: close/s],
@@ -141,25 +141,25 @@
 
 test('client: reuses connections, and distinguishes unsent requests from those that may have been executed', async () => {
   const server = await startEchoServer();
-  const caller = new SocketHttpClient(systemClock, 2);
+  const client = new SocketHttpClient(systemClock, 2);
   const address = getAddress(server);
   const responses = await Promise.all(
-    Array.from({ length: 20 }, (_, i) => caller.call(address, 'POST', `/${i}`, `"${i}"`, 5000)),
+    Array.from({ length: 20 }, (_, i) => client.call(address, 'POST', `/${i}`, `"${i}"`, 5000)),
   );
   responses.forEach((response, i) =>
     assert.equal((JSON.parse(response.body) as { path: string }).path, `/${i}`),
   );
   await assert.rejects(
-    caller.call('127.0.0.1:1', 'GET', '/', undefined, 5000),
+    client.call('127.0.0.1:1', 'GET', '/', undefined, 5000),
     (error: unknown) => error instanceof HttpCallError && error.failure === 'unsent',
   );
   const droppingServer = createServer((socket) => socket.on('data', () => socket.destroy()));
   await new Promise<void>((resolve) => droppingServer.listen(0, '127.0.0.1', resolve));
   await assert.rejects(
-    caller.call(getAddress(droppingServer), 'GET', '/', undefined, 5000),
+    client.call(getAddress(droppingServer), 'GET', '/', undefined, 5000),
     (error: unknown) => error instanceof HttpCallError && error.failure === 'unclear',
   );
-  caller.close();
+  client.close();
   droppingServer.close();
   await new Promise((resolve) => server.close(resolve));
 });
@@ -193,8 +193,8 @@
 
 test('client: the connections to all addresses are limited, and an idle one is closed for a new one', async () => {
   const servers = await Promise.all([startEchoServer(), startEchoServer(), startEchoServer()]);
-  const caller = new SocketHttpClient(systemClock, 1, 2);
-  const call = (server: Server) => caller.call(getAddress(server), 'GET', '/', undefined, 5000);
+  const client = new SocketHttpClient(systemClock, 1, 2);
+  const call = (server: Server) => client.call(getAddress(server), 'GET', '/', undefined, 5000);
   for (const server of [...servers, ...servers]) assert.equal((await call(server)).status, 200);
   const connectionCounts = await Promise.all(
     servers.map(
@@ -211,7 +211,7 @@
     results.map((r) => (r.status === 'rejected' ? (r.reason as HttpCallError).failure : r.value.status)),
     [200, 200, 'unsent'],
   );
-  caller.close();
+  client.close();
   await Promise.all(servers.map((s) => new Promise((resolve) => s.close(resolve))));
 });
 
@@ -228,14 +228,14 @@
     pino({ level: 'silent' }),
   );
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const callers = Array.from({ length: CLIENT_COUNT }, () => new SocketHttpClient(systemClock, 1));
+  const clients = Array.from({ length: CLIENT_COUNT }, () => new SocketHttpClient(systemClock, 1));
   const responseCounts = new Map<SocketHttpClient, number>();
   for (let round = 0; round < 4; round++)
-    for (const caller of callers) {
-      const response = await caller.call(address, 'GET', '/x', undefined, 2000).catch(() => undefined);
-      if (response) responseCounts.set(caller, (responseCounts.get(caller) ?? 0) + 1);
+    for (const client of clients) {
+      const response = await client.call(address, 'GET', '/x', undefined, 2000).catch(() => undefined);
+      if (response) responseCounts.set(client, (responseCounts.get(client) ?? 0) + 1);
     }
-  for (const caller of callers) caller.close();
+  for (const client of clients) client.close();
   server.close();
   assert.deepEqual(new Set(responseCounts.values()), new Set([4]));
   assert.equal(responseCounts.size, CLIENT_COUNT);
--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -12,8 +12,9 @@
   return { status, lines: stderr.trimEnd().split('\n') };
 }
 
-// The build replaces the schemas with generated code. An error must still be reported in one line and with its exit code.
-test('the built program reports invalid settings in one line, with exit code 2', () => {
+// The build replaces the schemas with generated validators. Each mistake must still be reported in one line, with the exit
+// code of its kind.
+test('the built program reports invalid settings (exit code 2) and invalid options (exit code 1) in one line', () => {
   const folder = mkdtempSync(join(tmpdir(), 'program-'));
   const writeSettingsFile = (name: string, text: string): string => {
     writeFileSync(join(folder, name), text);
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -19,10 +19,10 @@
 import { StateReplica } from '../src/state/state-replica.js';
 import { StoreClient } from '../src/state/store-client.js';
 
-const MB = 2 ** 20;
+const BYTES_PER_MIB = 2 ** 20;
 const silentLog = pino({ level: 'silent' });
 
-test('sockets and memory are divided according to the size of a controller', () => {
+test('the sockets and the memory of a controller are divided by fixed shares, with minimum and maximum sizes', () => {
   const socketCases: [sockets: number, maxClientConnections: number, maxCommandConnections: number][] = [
     [128, 76, 20],
     [900, 701, 135],
@@ -36,11 +36,11 @@
       `${sockets} sockets`,
     );
   const memoryCases: [
-    memoryMb: number,
+    memoryMib: number,
     peerCount: number,
-    rejectUsersAboveMb: number,
-    maxResponseMb: number,
-    maxPeerBufferMb: number,
+    rejectUsersAboveMib: number,
+    maxResponseMib: number,
+    maxPeerBufferMib: number,
   ][] = [
     [108, 2, 49, 6, 2],
     [127, 6, 65, 8, 1],
@@ -48,20 +48,23 @@
     [1000, 6, 808, 16, 10],
     [40, 2, 9, 1, 1],
   ];
-  for (const [memoryMb, peerCount, ...expected] of memoryCases) {
+  for (const [memoryMib, peerCount, ...expected] of memoryCases) {
     const { rejectUsersAboveBytes, maxResponseBytes, maxPeerBufferBytes } = divideMemory(
-      memoryMb * MB,
+      memoryMib * BYTES_PER_MIB,
       peerCount,
     );
     assert.deepEqual(
-      [rejectUsersAboveBytes, maxResponseBytes, maxPeerBufferBytes].map((bytes) => Math.round(bytes / MB)),
+      [rejectUsersAboveBytes, maxResponseBytes, maxPeerBufferBytes].map((bytes) =>
+        Math.round(bytes / BYTES_PER_MIB),
+      ),
       expected,
-      `${memoryMb} MB`,
+      `${memoryMib} MiB`,
     );
   }
 });
 
-// No write or request for a whole fleet may take as long as the lease of a worker.
+// For a whole fleet, writing the records and reading the list must take less time than about the lease of a worker. Renting
+// all machines may take longer, up to 45 s.
 test('the writes and requests for a fleet of any size fit the rate limits', () => {
   const WRITES_PER_S = 50;
   const CLOUD_REQUESTS_PER_S = 5;
@@ -101,7 +104,7 @@
     },
     cloudLimits: { rps: 6, maxListLagS: 5 },
     socketLimits: divideSockets(900),
-    memoryBytes: 108 * MB,
+    memoryBytes: 108 * BYTES_PER_MIB,
   } as Settings;
   const warningCases: [changes: Partial<Settings>, warnings: RegExp[]][] = [
     [{}, []],
@@ -120,7 +123,7 @@
       { socketLimits: divideSockets(128) },
       [/max_connections \(for clients\) is 76, but at least 100 is needed/],
     ],
-    [{ memoryBytes: 64 * MB }, [/^quota.mem_mb is 64, but at least 100 is needed/]],
+    [{ memoryBytes: 64 * BYTES_PER_MIB }, [/^quota.mem_mb is 64, but at least 100 is needed/]],
     [{ leaseDurationS: 5 }, [/^workers.lease_s is 5, but at least 6 is needed/]],
     [{ maxCancellationS: 15 }, [/^workers.cancel_s is 15, but at least 20.5 is needed/]],
   ];
@@ -131,7 +134,7 @@
   }
 });
 
-test('user requests are rejected under memory pressure, and accepted again only once it has ended', async () => {
+test('memory pressure starts above the limit and ends only once usage is well below the limit', async () => {
   const clock = new SimulatedClock();
   let usedBytes = 10;
   const guard = new MemoryGuard(clock, () => usedBytes, 100, silentLog);
@@ -189,15 +192,15 @@
 
 // Guards against requesting all pages of a large list at once. That exceeded the rate limit, and a rejected page discarded
 // all pages before it.
-test('the instance list of a large fleet is read within its share of the request rate, while instances are rented', async () => {
+test('the instance list of a large fleet is read completely while instances are rented, within the request rate', async () => {
   const INSTANCE_COUNT = 6000;
   const REQUESTS_PER_SECOND = 7;
   const clock = new SimulatedClock();
   const requests: { atMs: number; target: string }[] = [];
   const listSizes: number[] = [];
-  const instanceName = (i: number): string => `vm-${String(i).padStart(6, '0')}`;
-  const hostRow = (i: number) => ({
-    uid: instanceName(i),
+  const formatInstanceName = (i: number): string => `vm-${String(i).padStart(6, '0')}`;
+  const createInstanceRow = (i: number) => ({
+    uid: formatInstanceName(i),
     address: 'x:1',
     build: 'm',
     yard: 'z',
@@ -213,7 +216,7 @@
       const firstIndex = sinceMatch ? Number(sinceMatch[1]) + 1 : 0;
       const rows = Array.from(
         { length: Math.min(INSTANCE_LIST_PAGE_SIZE, INSTANCE_COUNT - firstIndex) },
-        (_, i) => hostRow(firstIndex + i),
+        (_, i) => createInstanceRow(firstIndex + i),
       );
       return Promise.resolve({
         status: 200,
