--- a/scripts/behavior-trace.ts
+++ b/scripts/behavior-trace.ts
@@ -58,7 +58,7 @@
   for (const injectFault of scenario.faults) injectFault(deployment);
   await deployment.clock.runUntil((scenario.seconds ?? DEFAULT_SECONDS) * 1000);
   const [recorder] = recorders;
-  if (!recorder) throw new Error(`no message of run ${name} was recorded`);
+  if (!recorder) throw new Error(`run ${name} created no recorder`);
   return {
     name,
     ...recorder.finish(),
--- a/scripts/behavior-trace/faults.ts
+++ b/scripts/behavior-trace/faults.ts
@@ -166,7 +166,7 @@
       });
     });
 
-/** The first running machines are terminated, and everything that runs on them. */
+/** The first running machines are terminated, with everything that runs on them. */
 export const machinesLost =
   (atS: number, count: number): Fault =>
   (deployment) =>
@@ -183,7 +183,7 @@
       for (const { name } of spot) deployment.cloud.terminate(name);
     });
 
-/** The first running machines restart without delay, and their workers count from the start again. */
+/** The first running machines restart without delay, and the counters of their workers are reset. */
 export const machinesRestart =
   (atS: number, count: number): Fault =>
   (deployment) =>
@@ -192,7 +192,7 @@
         deployment.cloud.machines.get(host)?.worker?.restart();
     });
 
-/** Every request of the present machines arrives a second time, late. */
+/** From then on, every request of the machines that exist at that time arrives a second time, late. */
 export const lateDuplicates =
   (atS: number, minimumMs: number, spreadMs: number): Fault =>
   (deployment) =>
--- a/scripts/behavior-trace/workloads.ts
+++ b/scripts/behavior-trace/workloads.ts
@@ -30,7 +30,10 @@
     );
 };
 
-/** Chains of dependent jobs with a fan-out and a fan-in. The first job of one chain is cancelled. */
+/**
+ * The mixed workload, and chains of dependent jobs with a fan-out and a fan-in. The first job of one chain is
+ * cancelled.
+ */
 export const dependentJobWorkload: Workload = (deployment) => {
   mixedWorkload(deployment);
   for (let chain = 0; chain < 4; chain++)
@@ -42,7 +45,7 @@
     });
 };
 
-/** Jobs bound to a given zone or to any single zone, and services spread over zones. */
+/** The mixed workload, jobs bound to a given zone or to any single zone, and services spread over zones. */
 export const zonedJobWorkload: Workload = (deployment) => {
   mixedWorkload(deployment);
   deployment.at(10, () => deployment.submit({ tasks: 6, runS: 40, singleZone: true }));
@@ -53,7 +56,7 @@
   );
 };
 
-/** More work than the teams' limits and the machines allow, with and without deadlines. */
+/** The mixed workload, and more work than the teams' limits and the machines allow, with and without deadlines. */
 export const overloadWorkload: Workload = (deployment) => {
   mixedWorkload(deployment);
   for (let i = 0; i < 6; i++)
@@ -62,7 +65,7 @@
     deployment.at(22 + i * 10, () => deployment.submit({ kind: 'service', tasks: 3 }));
 };
 
-/** Long jobs that keep the machines busy. */
+/** The mixed workload, and long jobs that keep the machines busy. */
 export const longJobWorkload: Workload = (deployment) => {
   mixedWorkload(deployment);
   deployment.at(6, () => deployment.submit({ tasks: 16, cpus: 1, runS: 90 }));
--- a/scripts/duties/role-holder-failures.ts
+++ b/scripts/duties/role-holder-failures.ts
@@ -26,7 +26,10 @@
 const TAKEOVER_TIMEOUT_MS = 30_000;
 const RECOVERY_MS = 1_500;
 const HANG_INTERVAL_MS = 10_000;
-/** Shorter than the lease of a worker, because a simulated worker that hangs for longer does not end its tasks. */
+/**
+ * Shorter than the lease of a worker, because a simulated worker does not end its tasks while it hangs, even when its
+ * lease has expired.
+ */
 const HANG_MS = 8_000;
 const COMPLETION_TIMEOUT_S = 90;
 
@@ -34,7 +37,7 @@
 const FAILURES = [
   'paused when its intent arrives',
   'paused when its call arrives',
-  'paused, its call delayed until it resumes',
+  'paused while its call is delayed',
   'paused at a random time',
   'killed and restarted',
   'isolated from the state service',
@@ -123,7 +126,8 @@
     const worker = chosen?.worker;
     if (!worker) return;
     worker.isHanging = true;
-    // The controllers return most hanging machines before that. The others must not take up cloud capacity for ever.
+    // The controllers return most hanging machines before HANG_MS have passed. The others run on, so that they do not
+    // take up cloud capacity for ever.
     systemClock.setTimer(HANG_MS, () => (worker.isHanging = false));
   }
 
@@ -138,7 +142,7 @@
         const { failure, fail } = this.pendingFailure;
         this.pendingFailure = undefined;
         fail(from);
-        if (failure === 'paused, its call delayed until it resumes') await sleep(PAUSE_MS);
+        if (failure === 'paused while its call is delayed') await sleep(PAUSE_MS);
       }
       return handler(from, method, target, forwardedBody);
     };
@@ -214,8 +218,8 @@
   }
 
   /**
-   * Waits until the role is held under a higher fencing token, and returns the steady time in milliseconds. An
-   * isolated member may take the role again itself. Undefined if that did not happen in time.
+   * Waits until the role is held under a higher fencing token, and returns the steady time in milliseconds. Undefined
+   * if the role is not taken over in time. An isolated member may acquire the role again itself.
    */
   private async waitForTakeover(role: Role, formerToken: number): Promise<number | undefined> {
     const deadlineMs = systemClock.steadyMs() + TAKEOVER_TIMEOUT_MS;
--- a/scripts/profile/hook.cjs
+++ b/scripts/profile/hook.cjs
@@ -1,4 +1,5 @@
-// Loaded into a profiled controller. On SIGTERM it writes the memory usage, and exits so that node writes the profile.
+// Loaded into a profiled controller. On SIGTERM it writes the memory and CPU usage, and exits so that
+// node writes the profile.
 const { writeFileSync } = require('node:fs');
 const { getHeapSpaceStatistics } = require('node:v8');
 
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -22,7 +22,7 @@
   private createdCount = 0;
   /** If true, every request gets a 503. */
   isDown = false;
-  /** Number of requests to return machines that were already gone. */
+  /** Number of times that a request returned a machine that was already gone. */
   repeatedReturns = 0;
 
   constructor(
--- a/src/simulation/loopback-cluster.ts
+++ b/src/simulation/loopback-cluster.ts
@@ -13,7 +13,10 @@
 
 const ZONES = ['east', 'west'];
 const MACHINE_CPUS = 4;
-/** How long after a confirmed cancellation an earlier start command may be in transit, or its image be fetched. */
+/**
+ * Seconds after a confirmed cancellation during which an earlier start command may be in transit, or the image of its
+ * task may be fetched.
+ */
 const COMMAND_TRANSIT_S = 8;
 
 /** Options of a cluster on loopback. */
@@ -34,8 +37,8 @@
 }
 
 /**
- * The addresses of one controller. Each controller has its own addresses of the state service and the cloud, which
- * tell them who calls.
+ * The addresses of one controller. The state service and the cloud have separate addresses for each controller, by
+ * which they know the sender of a request.
  */
 interface ControllerAddresses {
   user: string;
@@ -82,8 +85,8 @@
   }
 
   /**
-   * Starts the simulated services and then the controllers. `wrap` may replace the handlers of the services, to log
-   * requests.
+   * Starts the simulated services and then the controllers. `wrap` may replace the handlers of the services, for
+   * example to log or delay requests.
    */
   async start(
     wrap: (service: 'state' | 'cloud', handler: SimulatedHandler) => SimulatedHandler = (_, serviceHandler) =>
@@ -180,17 +183,17 @@
     const timing = { reportS, leaseS, fetchS: 1 };
     const { network, rules, finishedTasks } = this;
     const { random } = this.options;
-    const networkPort = {
+    const workerNetwork = {
       attach: (host: string, address: string, handler: SimulatedHandler) =>
         void network.attach(host, address, handler),
-      createCaller: () => network.createCaller(),
+      createHttpClient: () => network.createHttpClient(),
     };
     return new SimulatedWorker(
       { ...machine, address },
       controllers,
       timing,
       backgroundClock,
-      networkPort,
+      workerNetwork,
       rules,
       random,
       finishedTasks,
--- a/src/simulation/loopback-network.ts
+++ b/src/simulation/loopback-network.ts
@@ -6,7 +6,7 @@
 import { startHttpServer } from '../http/server.js';
 import type { SimulatedHandler } from './network.js';
 
-/** The clock of the simulated services. Its pending timers do not keep a process from exiting. */
+/** The clock of the simulated services, workers and users. Its pending timers do not keep a process from exiting. */
 export const backgroundClock: Clock = {
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
@@ -27,15 +27,15 @@
 /** Offers over real sockets the part of the simulated network's interface that the simulated services use. */
 export class LoopbackNetwork {
   private readonly servers: Server[] = [];
-  private readonly callers: SocketHttpClient[] = [];
+  private readonly httpClients: SocketHttpClient[] = [];
   private readonly sockets = new Set<Socket>();
   private isClosed = false;
 
   constructor(private readonly log: Logger) {}
 
   /**
-   * Serves HTTP at the address. The handler gets `caller` as the sender of every request. Empty if the sender is
-   * unknown.
+   * Serves HTTP at the address. The handler gets `caller` as the sender of every request. `caller` is empty if the
+   * sender is unknown.
    */
   async attach(_host: string, address: string, handler: SimulatedHandler, caller = ''): Promise<void> {
     const server = await startHttpServer(
@@ -60,15 +60,15 @@
   }
 
   /** Creates a client of its own for one host. */
-  createCaller(): HttpClient {
-    const caller = new SocketHttpClient(backgroundClock, 1, 4);
-    this.callers.push(caller);
-    return caller;
+  createHttpClient(): HttpClient {
+    const httpClient = new SocketHttpClient(backgroundClock, 1, 4);
+    this.httpClients.push(httpClient);
+    return httpClient;
   }
 
   /**
-   * Reserves the loopback addresses 127.N.x.y for the workers of one cluster, and returns an N that no other cluster
-   * uses.
+   * Reserves the loopback addresses 127.N.x.y for the workers of one cluster, and returns N. No other cluster uses the
+   * same N.
    */
   async reserveAddressBlock(): Promise<number> {
     for (let block = 1; block < 255; block++) {
@@ -85,12 +85,12 @@
     throw new Error('no block of loopback addresses is free');
   }
 
-  /** Closes all servers, connections and callers. */
+  /** Closes all servers, connections and HTTP clients. */
   close(): void {
     this.isClosed = true;
     for (const server of this.servers) server.close();
     for (const socket of this.sockets) socket.destroy();
-    for (const caller of this.callers) caller.close();
+    for (const httpClient of this.httpClients) httpClient.close();
   }
 }
 
--- a/src/simulation/loopback-users.ts
+++ b/src/simulation/loopback-users.ts
@@ -8,7 +8,7 @@
 
 /** Users that submit jobs to controllers on loopback and poll the state of each. */
 export class LoopbackUsers {
-  private readonly httpCaller = new SocketHttpClient(backgroundClock, 8, 8);
+  private readonly httpClient = new SocketHttpClient(backgroundClock, 8, 8);
   private jobCount = 0;
 
   constructor(
@@ -37,7 +37,7 @@
 
   /** Closes all connections. */
   close(): void {
-    this.httpCaller.close();
+    this.httpClient.close();
   }
 
   private sendSubmission(uid: string, body: string): void {
@@ -62,6 +62,6 @@
 
   private async sendRequest(method: string, path: string, body?: string): Promise<number> {
     const address = this.addresses[Math.floor(this.random() * this.addresses.length)]!;
-    return (await this.httpCaller.call(address, method, path, body, CALL_TIMEOUT_MS)).status;
+    return (await this.httpClient.call(address, method, path, body, CALL_TIMEOUT_MS)).status;
   }
 }
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -79,7 +79,7 @@
     this.duplicateDelays.set(host, drawDelayMs);
   }
 
-  /** Holds back everything that the host sends from now on. */
+  /** Holds back everything that the host sends from now on, until `resumeHost`. */
   holdOutbound(host: string): void {
     this.heldOutboundMessages.set(host, []);
   }
@@ -153,8 +153,8 @@
     else this.clock.setTimer(1 + this.random() * 3, () => this.runOnHost(to, run));
   }
 
-  /** Creates an HTTP client of a host. A client that is no longer alive ignores responses. */
-  createCaller(from: string, isAlive: () => boolean): HttpClient {
+  /** Creates an HTTP client of a host. Responses are ignored once `isAlive` returns false. */
+  createHttpClient(from: string, isAlive: () => boolean): HttpClient {
     return {
       call: (address, method, target, body, timeoutMs) =>
         new Promise((resolve, reject) => {
--- a/src/simulation/role-action-log.ts
+++ b/src/simulation/role-action-log.ts
@@ -50,7 +50,7 @@
 export class RoleActionLog {
   /** All actions received so far. */
   readonly actions: RoleAction[] = [];
-  /** Fencing tokens that did not increase, and request names that were used for two intents. */
+  /** One line for each fencing token that did not increase and each request name that was used for two intents. */
   readonly violations: string[] = [];
   private readonly latestTokens = new Map<string, number>();
   private readonly intentKeysByRequestName = new Map<string, string>();
--- a/src/simulation/rule-checker.ts
+++ b/src/simulation/rule-checker.ts
@@ -21,17 +21,17 @@
 interface TrackedJob {
   job: SimulatedJob;
   isAccepted: boolean;
-  /** The final phase that its user was told. It stays `open` until then. */
+  /** The final phase that the job's user was told. `open` until the user is told one. */
   reportedPhase: 'open' | 'done' | 'withdrawn';
   isCancelRequested: boolean;
   cancelConfirmedMs: number;
   completedTasks: Set<number>;
   submittedMs: number;
-  /** When the first of its tasks started. Infinity if none has. */
+  /** When the first of the job's tasks started. Infinity if none has started. */
   firstStartMs: number;
   /** Since when tasks have been waiting although a machine has room for one. Infinity if none is waiting. */
   waitingSinceMs: number;
-  /** When its user last got an answer about it. */
+  /** When the user last got an answer about the job. */
   lastAnswerMs: number;
   /** The machine of each running task, by the index of the task. */
   runningTasks: Map<number, { node: string; zone: string }>;
@@ -49,7 +49,7 @@
   readonly completionListeners: ((uid: string) => void)[] = [];
   /** Number of task starts. */
   startCount = 0;
-  /** Task starts so long after a confirmed cancellation that the start command must have been given after it. */
+  /** Task starts so long after a confirmed cancellation that the start command must have been sent after it. */
   readonly startsAfterCancellation: string[] = [];
   /** Number of starts of tasks that had started before. */
   restartCount = 0;
@@ -63,7 +63,7 @@
     private readonly nowMs: () => number,
     private readonly teamCpuLimits: Map<string, number>,
     private readonly cancelDeadlineS: number,
-    /** Seconds after a confirmed cancellation during which an earlier start command may still be in transit. */
+    /** Seconds after a confirmed cancellation during which a task may start because of an earlier start command. */
     private readonly commandTransitS: number,
   ) {}
 
@@ -118,11 +118,12 @@
       this.recordViolation(`quota: ${job.team} uses ${usedCpus} CPUs`);
   }
 
-  /** Records that the user asked to cancel the job, or a job that it depends on. */
+  /** Records that the user asked to cancel the job. */
   recordCancelRequest(uid: string): void {
     this.jobs.get(uid)!.isCancelRequested = true;
   }
 
+  /** Whether a user asked to cancel the job or a job that it depends on. */
   private isCancelRequested(uid: string): boolean {
     const tracked = this.jobs.get(uid);
     return (
@@ -235,7 +236,7 @@
         this.recordViolation(`starved: ${servedCount} of ${jobCount} of ${name} served`);
   }
 
-  /** Checks that no task of a cancelled job still runs after the deadline. To be called periodically. */
+  /** Checks that no task of a cancelled job still runs after the cancellation deadline. To be called periodically. */
   checkCancelledTasks(): void {
     for (const [uid, tracked] of this.jobs) {
       if (
--- a/src/simulation/simulated-deployment.ts
+++ b/src/simulation/simulated-deployment.ts
@@ -17,7 +17,10 @@
 const REPORT_S = 1.5;
 const LEASE_S = 14;
 const CANCEL_S = 35;
-/** How long after a confirmed cancellation an earlier start command may be in transit, or its image be fetched. */
+/**
+ * Seconds after a confirmed cancellation during which an earlier start command may be in transit, or the image of its
+ * task may be fetched.
+ */
 const COMMAND_TRANSIT_S = 8;
 
 /** Options of a simulated deployment. */
@@ -25,7 +28,7 @@
   controllers: number;
   /** The most machines that the cloud rents out at the same time. */
   machineCapacity: number;
-  /** Factor by which each team's CPU limits exceed those of a small deployment. */
+  /** Factor by which the CPU limits of a small deployment's teams are multiplied. */
   cpuLimitScale: number;
   /** Zones in which the cloud has machines. Defaults to all zones. */
   machineZones?: string[];
@@ -140,7 +143,7 @@
   readonly peers: SimulatedPeerNetwork;
   private readonly processClocks = new Map<string, ProcessClock>();
   private readonly finishedTasks = new Set<string>();
-  private readonly userCaller;
+  private readonly userHttpClient;
   private jobCount = 0;
 
   /** Time after which no fault is active. Jobs must not be left waiting after it. */
@@ -186,7 +189,7 @@
     );
     this.network.attach('state', 'state:1', (...request) => this.state.handle(...request));
     this.network.attach('cloud', 'cloud:1', (...request) => this.cloud.handle(...request));
-    this.userCaller = this.network.createCaller('users', () => true);
+    this.userHttpClient = this.network.createHttpClient('users', () => true);
     for (const member of this.members) this.startController(member);
     const check = (): void => {
       this.rules.checkCancelledTasks();
@@ -201,7 +204,7 @@
     const clock = new ProcessClock(this.clock, (run) => this.network.runOnHost(member, run));
     this.processClocks.set(member, clock);
     const isAlive = (): boolean => clock.isAlive;
-    const httpClient = this.network.createCaller(member, isAlive);
+    const httpClient = this.network.createHttpClient(member, isAlive);
     const controller = new Controller({
       settings: createSettings(member, this.options),
       clock,
@@ -245,7 +248,7 @@
 
   /**
    * Pauses a controller for a while. Its clocks run on. Messages that it sends in the last 40 ms before the pause
-   * leave only afterwards, because a pause may fall between a check and the action that relies on it.
+   * leave only after the pause, because a pause may fall between a check and the action that relies on it.
    */
   pauseController(member: string, durationMs: number): void {
     this.network.holdOutbound(member);
@@ -259,7 +262,7 @@
   }
 
   /**
-   * Submits a job and polls it from then on. If `cancelS` is given, cancels the job that many seconds after it was
+   * Submits a job and polls it from then on. If `cancelAfterS` is given, cancels the job that many seconds after it was
    * accepted.
    */
   submit(fields: Partial<SimulatedJob>, cancelAfterS?: number): SimulatedJob {
@@ -327,7 +330,7 @@
   ): Promise<HttpResponse | undefined> {
     const text = body === undefined ? undefined : JSON.stringify(body);
     try {
-      return await this.userCaller.call(`${member}:80`, method, path, text, 5000);
+      return await this.userHttpClient.call(`${member}:80`, method, path, text, 5000);
     } catch {
       return undefined;
     }
--- a/src/simulation/simulated-worker.ts
+++ b/src/simulation/simulated-worker.ts
@@ -43,14 +43,14 @@
   private isAlive = true;
   /** While true, the machine neither runs tasks nor handles messages, and its clock runs on. */
   isHanging = false;
-  private readonly httpCaller: HttpClient;
+  private readonly httpClient: HttpClient;
 
   constructor(
     readonly machine: WorkerMachine,
     private readonly controllers: { member: string; address: string }[],
     private readonly timing: { reportS: number; leaseS: number; fetchS: number },
     private readonly clock: Clock,
-    network: Pick<SimulatedNetwork, 'attach' | 'createCaller'>,
+    network: Pick<SimulatedNetwork, 'attach' | 'createHttpClient'>,
     private readonly rules: RuleChecker,
     private readonly random: () => number,
     /** Tasks that finished on any machine. Another attempt at one of them takes only 10 ms. */
@@ -58,7 +58,7 @@
   ) {
     this.leaseRenewedMs = clock.steadyMs();
     this.controllerIndex = Math.floor(random() * controllers.length);
-    this.httpCaller = network.createCaller(machine.name, () => this.isAlive);
+    this.httpClient = network.createHttpClient(machine.name, () => this.isAlive);
     network.attach(machine.name, this.address, async (_from, _method, target, body) =>
       this.handleRequest(target, body),
     );
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Restarts the machine without delay. All tasks end, and the worker counts its sessions and reports from the start
-   * again.
+   * Restarts the machine without delay. All tasks end, and the session number, the report number and the token of the
+   * worker start from their initial values again.
    */
   restart(): void {
     this.killTasks();
@@ -90,7 +90,7 @@
     this.leaseRenewedMs = this.clock.steadyMs();
   }
 
-  /** Number of the current session. It increases each time the lease expires. */
+  /** Number of the current session. It increases each time the lease expires, and a restart resets it. */
   get sessionNumber(): number {
     return this.session;
   }
@@ -151,7 +151,7 @@
     const controller = this.controllers[this.controllerIndex]!;
     let response: HttpResponse | undefined;
     try {
-      response = await this.httpCaller.call(
+      response = await this.httpClient.call(
         controller.address,
         'POST',
         '/v1/report',
@@ -176,9 +176,9 @@
       }
       return this.scheduleReport(500);
     }
-    const steward =
+    const leader =
       response?.status === 421 ? (JSON.parse(response.body) as { steward?: string }).steward : undefined;
-    const namedIndex = this.controllers.findIndex((other) => other.member === steward);
+    const namedIndex = this.controllers.findIndex((other) => other.member === leader);
     this.controllerIndex =
       namedIndex >= 0 && namedIndex !== this.controllerIndex
         ? namedIndex
@@ -188,7 +188,7 @@
 
   private async handleRequest(target: string, body: string | undefined): Promise<HttpResponse | undefined> {
     if (!this.isAlive) return undefined;
-    // A hanging machine handles the requests that reached it once it runs again.
+    // Requests that reach a hanging machine are handled once it runs again.
     while (this.isHanging) await new Promise<void>((resolve) => this.clock.setTimer(100, resolve));
     // The machine may have been terminated in the meantime.
     if (!this.isAlive) return undefined;
--- a/src/simulation/state-service.ts
+++ b/src/simulation/state-service.ts
@@ -30,7 +30,7 @@
   private readonly watchers = new Set<() => void>();
   /** Callers whose requests get a 503. The entry '*' stands for every caller. */
   readonly refusedCallers = new Set<string>();
-  /** Share of transactions that get no answer and are executed seconds later, after newer ones. */
+  /** Share of transactions that get no answer and are executed 2 to 12 s later, possibly after newer ones. */
   delayedTransactionShare = 0;
   /** Draws the delay of each request in milliseconds. Undefined if requests are handled without delay. */
   drawDelayMs: (() => number) | undefined;
@@ -38,9 +38,9 @@
   limits = { valueBytes: 8192, maxTransactionOperations: 12 };
   /** Number of transactions that got a 400 because they exceeded the limits. */
   oversizedTransactions = 0;
-  /** Number of requests in each second. */
+  /** Number of requests in each second, including refused ones. */
   readonly requestsBySecond: number[] = [];
-  /** Number of puts and deletes in each second. */
+  /** Number of puts and deletes in each second, including those of transactions whose conditions failed. */
   readonly writesBySecond: number[] = [];
 
   constructor(
--- a/src/simulation/traffic-observer.ts
+++ b/src/simulation/traffic-observer.ts
@@ -1,6 +1,9 @@
 import type { PeerMessage } from '../peers/peer-messages.js';
 
-/** Receives every message of a simulated deployment, in the order of sending and arrival. */
+/**
+ * Receives the messages of a simulated deployment as they are sent and as they arrive. Injected duplicates of requests
+ * are not reported.
+ */
 export interface TrafficObserver {
   /** A request leaves its sender. */
   requestSent(request: ObservedRequest): void;
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -59,9 +59,9 @@
 
 /**
  * Guards against a leader that does not know of cancellations which its peers confirmed. The state service first
- * refuses only the leader, the peers confirm cancellations, and then the service is down for all. The promises of the
- * peers let the leader keep its authority. If they did not pass the cancellations on, it would answer workers without
- * knowing them.
+ * refuses only the leader, the peers confirm cancellations, and then the service is down for all. The lease votes of
+ * the peers let the leader keep its authority. If the peers did not send the cancellations before their votes, the
+ * leader would answer workers without knowing of the cancellations.
  */
 for (const offsetS of [0.4, 1, 1.6, 2, 2.4, 3, 4]) {
   for (const seed of [1, 2]) {
@@ -81,9 +81,10 @@
 }
 
 /**
- * Peers of a former version give promises without passing cancellations on, and a leader of a former version does not
- * ask for them. Such a promise does not prove that the leader knows all cancellations. The leader then starts no
- * task, and stops answering early enough for the rest of a cancellation to finish within cancel_s.
+ * Peers of a former version grant lease votes without sending the cancellations that they know, and a leader of a
+ * former version does not ask for the cancellations. Such a vote does not prove that the leader knows all
+ * cancellations. The leader then starts no task, and stops answering early enough for the rest of a cancellation to
+ * finish within cancel_s.
  */
 for (const [description, selectFormerMembers] of [
   [
@@ -101,7 +102,8 @@
     for (const seed of [1, 2]) {
       const deployment = new SimulatedDeployment(seed);
       submitAndCancel(deployment, spaceEvenly(50.1, 51, 8));
-      // The tasks of this job end one after another, and an uninformed leader would start the next ones.
+      // The tasks of this job end one after another, and a leader that does not know of the job's cancellation
+      // would start the next ones.
       deployment.at(10, () => deployment.submit({ tasks: 400, cpus: 1, runS: 3, team: 'red' }));
       deployment.at(50, () => {
         for (const uid of [...deployment.rules.jobs.keys()].slice(-1)) void deployment.cancel(uid);
@@ -260,7 +262,7 @@
       deployment.rules.completionListeners.push((uid) => {
         const { job } = deployment.rules.jobs.get(uid)!;
         const action = Math.floor(deployment.random() * 4);
-        // Falls between the end of the last task and the time at which the completion is stored.
+        // The delay lets the request arrive between the end of the last task and the storing of the completion.
         deployment.clock.setTimer(deployment.random() * 1_000, () => {
           if (action < 2) void deployment.cancel(uid);
           else if (action === 2) void deployment.poll(uid);
@@ -484,7 +486,7 @@
  * Fast boots and slow writes make the time between the two as long as possible.
  */
 for (const seed of [1, 2, 3]) {
-  test(`machines boot within two seconds and get tasks while writes are slow and the leader crashes (seed ${seed})`, async () => {
+  test(`no task runs twice when the leader crashes while writes are slow and machines that boot within two seconds get tasks (seed ${seed})`, async () => {
     const deployment = new SimulatedDeployment(seed, { ...SMALL_DEPLOYMENT, bootS: 1.2 });
     const jobsToFinish: SimulatedJob[] = [];
     deployment.at(3, () => (deployment.state.drawDelayMs = () => 300 + 900 * deployment.random()));
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -44,7 +44,7 @@
   );
 }
 
-test('4,000 machines boot, all controllers crash and restart, and the leader crashes while all machines report', async () => {
+test('4,000 machines: jobs finish within the rate limits after all controllers crash and the leader crashes while all machines report', async () => {
   const deployment = new SimulatedDeployment(31, LARGE_DEPLOYMENT);
   const jobsToFinish = submitWorkload(deployment);
   let runningMachines = 0;
@@ -65,7 +65,7 @@
   checkRates(deployment);
 });
 
-test('4,000 machines: a zone is partitioned for a while, then the state service is down for longer than a lease', async () => {
+test('4,000 machines: jobs finish within the rate limits after a partition of zones and a state service outage longer than a lease', async () => {
   const deployment = new SimulatedDeployment(32, LARGE_DEPLOYMENT);
   const jobsToFinish = submitWorkload(deployment);
   deployment.at(28, () => deployment.network.partitionZones());
--- a/test/production-version.ts
+++ b/test/production-version.ts
@@ -1,10 +1,10 @@
 import { isJsonObject } from '../src/wire/json.js';
 
 /**
- * How the version in production (deploy/service.toml) writes and reads the data that it shares with this version. It
- * does not change when this version does. Both versions run side by side during a rolling upgrade. The values of
- * jobs, node groups and delegated leases were printed by the code of that version, and the decoding is abridged from
- * that code.
+ * How the version in production (deploy/service.toml) writes and reads the data that it shares with the current
+ * version. This module does not change when the current version does. Both versions run side by side during a rolling
+ * upgrade. The values of jobs, node groups and delegated leases were printed by the code of the version in production,
+ * and the decoding is abridged from that code.
  */
 
 /** Values that the version in production wrote into the state service. */
--- a/test/read-consistency.test.ts
+++ b/test/read-consistency.test.ts
@@ -5,8 +5,8 @@
 import type { SimulatedJob } from '../src/simulation/rule-checker.js';
 
 /**
- * Tests what users read from several controllers at once, after writes with unknown outcome, and about many short
- * jobs.
+ * Tests what users read from several controllers at once, after writes with unknown outcome, and under a high rate of
+ * short jobs.
  */
 
 const parsePhase = (response: HttpResponse | undefined): string | undefined =>
@@ -109,7 +109,7 @@
 // Guards against wrong handling of a transaction that was executed but not answered: the writer learns of it only by
 // a later read, while other controllers already act on it.
 for (const seed of [1, 2]) {
-  test(`responses to executed transactions are lost during a change of leader (seed ${seed})`, async () => {
+  test(`rules hold and jobs finish while responses to executed transactions are lost and the leader changes (seed ${seed})`, async () => {
     const deployment = new SimulatedDeployment(seed);
     let lostShare = 0;
     loseTransactionResponses(deployment, () => lostShare);
@@ -133,7 +133,7 @@
 }
 
 // Guards against lost jobs under a high rate of short jobs, each of which costs a few writes.
-test('four one-task jobs per second are submitted for a minute, and a quarter of them is cancelled', async () => {
+test('all jobs finish when four one-task jobs per second are submitted for a minute and a quarter of them is cancelled', async () => {
   const deployment = new SimulatedDeployment(3);
   const jobs: SimulatedJob[] = [];
   for (let i = 0; i < 240; i++)
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -247,10 +247,11 @@
   }
 }
 
-test('a leader that is partitioned only from the machines gives way before their leases expire', async () => {
+test('no task ends because of an expired lease while one controller after the other is partitioned only from the machines', async () => {
   const deployment = new SimulatedDeployment(4);
   submitWorkload(deployment);
-  // Partitions every controller in turn, so that the leader is among them, for long enough that leases could expire.
+  // Each partition lasts long enough for leases to expire. One of these controllers leads, and it has to step down
+  // before the leases expire.
   ['c0', 'c1', 'c2'].forEach((member, i) => {
     deployment.at(50 + i * 40, () => {
       for (const host of deployment.cloud.machines.keys()) deployment.network.partition(member, host);
@@ -262,7 +263,7 @@
   assert.equal(deployment.rules.tasksKilledByLeaseExpiry, 0);
 });
 
-test('a partition between the zones ends no task, because a deputy holds the leases', async () => {
+test('a partition between the zones ends no task, because a lease renewal proxy renews the leases', async () => {
   const deployment = new SimulatedDeployment(3);
   submitWorkload(deployment);
   deployment.at(60, () => deployment.network.partitionZones());
@@ -318,7 +319,7 @@
   // A task that is wrongly considered lost, or running on a machine that is gone, would be started again or late.
   assert.equal(deployment.rules.tasksKilledByLeaseExpiry, 0);
   assert.equal(deployment.rules.tasksKilledWithMachine, 0);
-  // One restart is allowed, because a running service may preempt a task to get room.
+  // One restart is allowed, because the service, whose rank is `prod`, may preempt a task.
   assert.ok(deployment.rules.restartCount <= 1, `${deployment.rules.restartCount} tasks started again`);
   // A machine that a duplicate of its report brings back would count as silent and be returned again.
   assert.equal(deployment.cloud.repeatedReturns, 0);
