--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -4,7 +4,10 @@
 export interface Clock {
   /** Returns the time of the steady (monotonic) clock in milliseconds, counted from an arbitrary start. */
   steadyMs(): number;
-  /** Returns the time of day in milliseconds since 1970. It can jump when the system clock is adjusted. */
+  /**
+   * Returns the time of day in milliseconds since 1970. It can jump when the system clock is adjusted. The platform bounds
+   * its error (the setting `clock_error_ms` of the platform's settings file, which this program does not read).
+   */
   wallMs(): number;
   /** Calls `callback` once after `delayMs` milliseconds. Returns a function that cancels the timer. */
   setTimer(delayMs: number, callback: () => void): () => void;
--- a/src/autoscaler/cloud-client.ts
+++ b/src/autoscaler/cloud-client.ts
@@ -66,7 +66,7 @@
 
 /** Dependencies of CloudClient. */
 export interface CloudClientDependencies {
-  readonly caller: HttpClient;
+  readonly httpClient: HttpClient;
   /** Host and port of the cloud. */
   readonly address: string;
   readonly rates: CloudRates;
@@ -229,13 +229,13 @@
   }
 
   private get(target: string): Promise<HttpResponse> {
-    const { caller, address } = this.dependencies;
-    return caller.call(address, 'GET', target, undefined, CLOUD_CALL_TIMEOUT_MS);
+    const { httpClient, address } = this.dependencies;
+    return httpClient.call(address, 'GET', target, undefined, CLOUD_CALL_TIMEOUT_MS);
   }
 
   private post(target: string, body: unknown): Promise<HttpResponse> {
-    const { caller, address } = this.dependencies;
-    return caller.call(address, 'POST', target, formatJson(body), CLOUD_CALL_TIMEOUT_MS);
+    const { httpClient, address } = this.dependencies;
+    return httpClient.call(address, 'POST', target, formatJson(body), CLOUD_CALL_TIMEOUT_MS);
   }
 
   /** Handles the end of a call. `response` is undefined if the cloud did not respond. */
--- a/src/autoscaler/scale-out-planner.ts
+++ b/src/autoscaler/scale-out-planner.ts
@@ -148,7 +148,8 @@
 
 /**
  * The price from which the score of an offering is computed. For a demand that avoids spot instances, a spot instance
- * has a higher price than an on-demand instance of the same type.
+ * counts as a multiple of the on-demand price of its type. Its score is then worse than that of an on-demand instance of
+ * the same type, but can be better than that of an on-demand instance of another type.
  */
 function computeEffectivePrice(demand: CapacityDemand, type: InstanceType, spot: boolean): number {
   if (!spot) return type.price;
--- a/src/autoscaler/spot-interruption-rate.ts
+++ b/src/autoscaler/spot-interruption-rate.ts
@@ -45,13 +45,14 @@
       this.burstStartMs = nowMs;
       this.burstInterruptions = 0;
     }
-    const expectedInterruptions = (this.nodesInUse * this.perHour() * SPOT_BURST_WINDOW_MS) / MS_PER_HOUR;
+    const expectedInterruptions =
+      (this.nodesInUse * this.computeInterruptionsPerHour() * SPOT_BURST_WINDOW_MS) / MS_PER_HOUR;
     const maxCounted = Math.max(MIN_COUNTED_SPOT_BURST, expectedInterruptions * MAX_COUNTED_SPOT_BURST_RATIO);
     if (++this.burstInterruptions <= maxCounted) this.interruptions++;
   }
 
   /** Interruptions per hour of use of one node. */
-  perHour(): number {
+  computeInterruptionsPerHour(): number {
     const priorInterruptions = SPOT_PRIOR_INTERRUPTIONS_PER_HOUR * SPOT_PRIOR_WEIGHT_HOURS;
     return (this.interruptions + priorInterruptions) / (this.hoursOfUse + SPOT_PRIOR_WEIGHT_HOURS);
   }
--- a/src/autoscaler/spot-policy.ts
+++ b/src/autoscaler/spot-policy.ts
@@ -28,7 +28,8 @@
     if (!job.isOpen) return;
     job.submitExecutableMembers();
     job.setAvoidsSpot(job.spec.spot && this.isInterruptionCostly(job));
-    if (job.prefersSpot && (job.avoidsSpot || !this.isSpotAvailable(job, nowMs))) job.fallBackFromSpot();
+    if (job.mayLaunchSpotOnly && (job.avoidsSpot || !this.isSpotAvailable(job, nowMs)))
+      job.fallBackFromSpot();
   }
 
   /**
@@ -38,7 +39,7 @@
   private isInterruptionCostly(job: Job): boolean {
     return (
       getTimeToDeadlineS(job, this.dependencies.wallMs()) < Infinity &&
-      this.dependencies.spotInterruptionRate.perHour() > MAX_SPOT_INTERRUPTIONS_PER_HOUR
+      this.dependencies.spotInterruptionRate.computeInterruptionsPerHour() > MAX_SPOT_INTERRUPTIONS_PER_HOUR
     );
   }
 
--- a/src/constants/cloud.ts
+++ b/src/constants/cloud.ts
@@ -47,8 +47,9 @@
  */
 export const OFFERING_FAULT_BACKOFF_MS = 2_500;
 /**
- * For a job that avoids spot instances, a spot instance is priced at this multiple of the on-demand price. Such a job
- * therefore gets spot instances only where no on-demand instances are available.
+ * For a job that avoids spot instances, a spot instance is priced at this multiple of the on-demand price of its type.
+ * Such a job therefore gets a spot instance only if no on-demand offering that it can use has a better score. This is so
+ * if none is available, or if those that are cost much more per task or would make the tasks much later.
  */
 export const AVOIDED_SPOT_PRICE_RATIO = 2;
 /** A booting node counts as stuck after this multiple of the boot time in the catalog. */
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -118,7 +118,7 @@
   private createStoreClient(): StoreClient {
     const { settings, clock, httpClient } = this.environment;
     return new StoreClient({
-      caller: httpClient,
+      httpClient,
       address: settings.stateStoreAddress,
       clock,
       limits: settings.stateLimits,
@@ -142,7 +142,7 @@
     return new Election({
       member: settings.member,
       zone: settings.zone,
-      delegatesRoles: settings.operator.duties.enabled,
+      delegatesCloudCalls: settings.operator.duties.enabled,
       peers: settings.peers,
       storeClient: this.storeClient,
       replica: this.replica,
@@ -246,7 +246,7 @@
     const { settings, clock, random, log, peerTransport } = this.environment;
     return new HeartbeatRelay({
       clock,
-      channel: peerTransport,
+      peerTransport,
       log,
       random,
       maxPending: Math.ceil(settings.socketLimits.maxClientConnections * WAITING_HEARTBEATS_SOCKET_SHARE),
--- a/src/duties/http-cloud-provider.ts
+++ b/src/duties/http-cloud-provider.ts
@@ -16,7 +16,7 @@
 export class HttpCloudProvider implements CloudProvider {
   /** `address` is the host and port of the cloud. */
   constructor(
-    private readonly caller: HttpClient,
+    private readonly httpClient: HttpClient,
     private readonly address: string,
   ) {}
 
@@ -39,7 +39,13 @@
 
   private async post(target: string, body: unknown): Promise<HttpResponse | undefined> {
     try {
-      return await this.caller.call(this.address, 'POST', target, formatJson(body), CLOUD_CALL_TIMEOUT_MS);
+      return await this.httpClient.call(
+        this.address,
+        'POST',
+        target,
+        formatJson(body),
+        CLOUD_CALL_TIMEOUT_MS,
+      );
     } catch {
       // The request may have arrived, whatever the error is.
       return undefined;
--- a/src/election/campaign.ts
+++ b/src/election/campaign.ts
@@ -16,7 +16,7 @@
    * Whether the holders of the leased roles call the cloud on behalf of this candidate once it leads. The value is stored in
    * the leader's record.
    */
-  readonly delegatesRoles: boolean;
+  readonly delegatesCloudCalls: boolean;
   /** Returns the time of the steady clock in milliseconds. */
   readonly nowMs: () => number;
 }
@@ -51,7 +51,7 @@
  * leader's key and that the term has not been raised in the meantime. Never rejects.
  */
 export async function runCampaign(
-  { storeClient, replica, member, delegatesRoles, nowMs }: CampaignDependencies,
+  { storeClient, replica, member, delegatesCloudCalls, nowMs }: CampaignDependencies,
   callbacks: CampaignCallbacks,
 ): Promise<void> {
   try {
@@ -59,7 +59,7 @@
     const fencingToken = decodeTerm(latestTerm?.value) + 1;
     const leaseRequestedAtMs = nowMs();
     const leaseId = await storeClient.grantLease(LEADER_LEASE_TTL_MS);
-    const leaderValue = encodeLeader({ member, term: fencingToken, delegatesCloudCalls: delegatesRoles });
+    const leaderValue = encodeLeader({ member, term: fencingToken, delegatesCloudCalls });
     const transactionResult = await storeClient.compareAndSwap(
       [
         { key: LEADER_KEY, modRevision: 0 },
--- a/src/election/election-options.ts
+++ b/src/election/election-options.ts
@@ -17,7 +17,7 @@
    * Whether the holders of the leased roles call the cloud on behalf of this controller while it leads. The value is stored
    * in the leader's record.
    */
-  readonly delegatesRoles: boolean;
+  readonly delegatesCloudCalls: boolean;
   /** The other controllers. */
   readonly peers: readonly Peer[];
   readonly storeClient: StoreClient;
--- a/src/election/election.ts
+++ b/src/election/election.ts
@@ -168,7 +168,7 @@
   }
 
   private campaignIfDue(): void {
-    const { replica, storeClient, member, delegatesRoles } = this.options;
+    const { replica, storeClient, member, delegatesCloudCalls } = this.options;
     if (!replica.isLoaded || !this.campaignSchedule.isCampaignDue) return;
     const leaderKey = replica.get(LEADER_KEY);
     if (leaderKey) {
@@ -178,7 +178,7 @@
     if (this.nowMs() < this.leaseVoter.earliestCampaignAtMs) return;
     this.role = CANDIDATE;
     void runCampaign(
-      { storeClient, replica, member, delegatesRoles, nowMs: this.nowMs },
+      { storeClient, replica, member, delegatesCloudCalls, nowMs: this.nowMs },
       {
         onEnded: (campaign) => this.send({ kind: 'campaignEnded', campaign }),
         onFailed: (error) => {
--- a/src/leader/cluster-components.ts
+++ b/src/leader/cluster-components.ts
@@ -112,7 +112,7 @@
     return new CommandDispatcher({
       term,
       clusterState: this.clusterState,
-      caller: workerHttpClient,
+      httpClient: workerHttpClient,
       log,
       mayStart: (attempt) => this.taskLifecycle.mayStart(attempt),
       deliverCallResult: (result) => this.mailbox.send({ kind: 'commandCallEnded', result }),
--- a/src/leader/leader-components.ts
+++ b/src/leader/leader-components.ts
@@ -90,7 +90,7 @@
   private createCloudClient(): CloudClient {
     const { settings, term, httpClient, leasedRoles, clock, log, resign } = this.dependencies;
     return new CloudClient({
-      caller: httpClient,
+      httpClient,
       address: settings.cloudAddress,
       rates: computeLeaderCloudRates(settings.cloudLimits.rps, leasedRoles !== undefined),
       clock,
--- a/src/pipeline/job.ts
+++ b/src/pipeline/job.ts
@@ -108,7 +108,7 @@
   }
 
   /** Whether only spot instances may be launched for the job. */
-  get prefersSpot(): boolean {
+  get mayLaunchSpotOnly(): boolean {
     return this.spec.spot && this.pipelineExecution.getMemberState(SPOT_CAPACITY_MEMBER) === 'E';
   }
 
@@ -119,7 +119,7 @@
 
   /** Allows on-demand instances for a job that preferred spot instances. */
   fallBackFromSpot(): void {
-    if (this.prefersSpot) this.pipelineExecution.failMember(SPOT_CAPACITY_MEMBER);
+    if (this.mayLaunchSpotOnly) this.pipelineExecution.failMember(SPOT_CAPACITY_MEMBER);
   }
 
   /**
--- a/src/state/store-client.ts
+++ b/src/state/store-client.ts
@@ -44,7 +44,7 @@
 
 /** Dependencies and settings of `StoreClient`. */
 export interface StoreClientOptions {
-  readonly caller: HttpClient;
+  readonly httpClient: HttpClient;
   /** Host and port of the state store. */
   readonly address: string;
   readonly clock: Clock;
@@ -204,7 +204,7 @@
 
   private async request(request: StoreRequest): Promise<HttpResponse> {
     const { method, target, body, timeoutMs, writeCount = 0, skipsRateLimit = false } = request;
-    const { caller, address, clock } = this.options;
+    const { httpClient, address, clock } = this.options;
     // Renewals and revocations of leases skip the rate limits, because everything else depends on the leader's lease.
     if (!skipsRateLimit) {
       for (
@@ -217,7 +217,7 @@
     this.requestRateLimiter.consume(1);
     if (writeCount > 0) this.writeRateLimiter.consume(writeCount);
     try {
-      const response = await caller.call(address, method, target, body, timeoutMs);
+      const response = await httpClient.call(address, method, target, body, timeoutMs);
       this.recordCallEnd(response.status !== 503 && response.status !== 429);
       return response;
     } catch (error) {
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -51,7 +51,7 @@
   readonly term: LeadershipTerm;
   readonly clusterState: ClusterState;
   /** Sends the direct calls to workers. */
-  readonly caller: HttpClient;
+  readonly httpClient: HttpClient;
   readonly log: Logger;
   /** Whether a planned attempt may be started now. This is checked right before each start command. */
   readonly mayStart: (attempt: Attempt) => boolean;
@@ -181,9 +181,9 @@
     commands: readonly WorkerCommand[],
     attemptsToStart: readonly Attempt[],
   ): void {
-    const { caller, term, deliverCallResult } = this.dependencies;
+    const { httpClient, term, deliverCallResult } = this.dependencies;
     const body = formatJson(encodeCommands(term.fencingToken, commands, node.incarnation));
-    caller.call(node.address, 'POST', COMMANDS_PATH, body, COMMAND_CALL_TIMEOUT_MS).then(
+    httpClient.call(node.address, 'POST', COMMANDS_PATH, body, COMMAND_CALL_TIMEOUT_MS).then(
       (response) => {
         const outcome = { kind: 'response', status: response.status, body: response.body } as const;
         deliverCallResult({ node, attemptsToStart, outcome });
--- a/src/workers/heartbeat-relay.ts
+++ b/src/workers/heartbeat-relay.ts
@@ -15,7 +15,7 @@
 /** Dependencies of HeartbeatRelay. */
 export interface HeartbeatRelayDependencies {
   readonly clock: Clock;
-  readonly channel: Pick<PeerTransport, 'send' | 'onMessage'>;
+  readonly peerTransport: Pick<PeerTransport, 'send' | 'onMessage'>;
   readonly log: Logger;
   /** Returns a random number, uniformly distributed in [0, 1). */
   readonly random: () => number;
@@ -75,7 +75,7 @@
   constructor(private readonly dependencies: HeartbeatRelayDependencies) {
     super(dependencies.log);
     this.lastRequestId = Math.floor(dependencies.random() * RELAY_ID_RANGE);
-    dependencies.channel.onMessage((_member, message) => {
+    dependencies.peerTransport.onMessage((_member, message) => {
       if (message.kind === 'relayed')
         this.send({ kind: 'relayed', id: message.id, status: message.status, body: message.body });
     });
@@ -113,7 +113,7 @@
     const leader = this.dependencies.getReachableLeader();
     if (leader === undefined) return;
     // If the message was dropped, the next review forwards the heartbeat.
-    if (!this.dependencies.channel.send(leader, { kind: 'relay', id: requestId, body: heartbeat.body }))
+    if (!this.dependencies.peerTransport.send(leader, { kind: 'relay', id: requestId, body: heartbeat.body }))
       return;
     heartbeat.lastForwardedTo = leader;
     heartbeat.lastForwardedMs = this.dependencies.clock.steadyMs();
--- a/test/autoscaler/cloud-client.test.ts
+++ b/test/autoscaler/cloud-client.test.ts
@@ -10,7 +10,7 @@
   let hasAuthority = true;
   const requestedTargets: string[] = [];
   const cloud = new CloudClient({
-    caller: {
+    httpClient: {
       call: (_address, method, target) => {
         requestedTargets.push(`${method} ${target}`);
         return Promise.resolve({ status: 503, body: '{}' });
--- a/test/duties/model-cluster.ts
+++ b/test/duties/model-cluster.ts
@@ -98,11 +98,11 @@
   startProcess(member: string): void {
     const process = new ModelProcess(this.clock);
     const clock = process.visibleClock;
-    const caller: HttpClient = {
+    const httpClient: HttpClient = {
       call: (...request) => this.call(member, process, request),
     };
     const client = new StoreClient({
-      caller,
+      httpClient,
       address: 'state:1',
       clock,
       limits: LIMITS,
@@ -117,7 +117,7 @@
         new TransactionBatcher(client, replica, clock, silentLogger),
         client,
       ),
-      cloudProvider: new HttpCloudProvider(caller, 'cloud:1'),
+      cloudProvider: new HttpCloudProvider(httpClient, 'cloud:1'),
       currentLeader: () => {
         this.onLeaderRead(member);
         return readCurrentLeader(replica);
--- a/test/election/election.test.ts
+++ b/test/election/election.test.ts
@@ -82,7 +82,7 @@
   const election = new Election({
     member: 'c0',
     zone: 'a',
-    delegatesRoles: false,
+    delegatesCloudCalls: false,
     peers: [{ member: 'c1', zone: 'a', address: '' }],
     storeClient: storeClient as unknown as StoreClient,
     replica: replica as unknown as StateReplica,
--- a/test/golden/cloud-calls.test.ts
+++ b/test/golden/cloud-calls.test.ts
@@ -129,7 +129,7 @@
   const caller = new RecordingCaller(({ method, target }) => RESPONSES[`${method} ${target}`]);
   const events: CloudEvent[] = [];
   const cloud = new CloudClient({
-    caller,
+    httpClient: caller,
     address: 'cloud:1',
     rates: computeLeaderCloudRates(6, false),
     clock,
--- a/test/golden/state-calls.test.ts
+++ b/test/golden/state-calls.test.ts
@@ -20,7 +20,7 @@
   const caller = new RecordingCaller(() => response);
   const clock = new SimulatedClock();
   const client = new StoreClient({
-    caller,
+    httpClient: caller,
     address: 'state:1',
     clock,
     limits: STORE_LIMITS,
--- a/test/golden/stored-cluster.test.ts
+++ b/test/golden/stored-cluster.test.ts
@@ -139,7 +139,10 @@
     assert.equal(formatJson(nextRate.toRecord()), forms.getText(formName));
   }
   const decodedRate = new SpotInterruptionRate(parseJson(forms.getText('losses: two')), 0);
-  assert.equal(decodedRate.perHour(), new SpotInterruptionRate({ lost: 2, hours: 4.5 }, 7).perHour());
+  assert.equal(
+    decodedRate.computeInterruptionsPerHour(),
+    new SpotInterruptionRate({ lost: 2, hours: 4.5 }, 7).computeInterruptionsPerHour(),
+  );
 });
 
 /** Decoding of values that are malformed, that lack fields or that have fields of another version. */
--- a/test/pipeline/job.test.ts
+++ b/test/pipeline/job.test.ts
@@ -130,14 +130,14 @@
 
 test('a job uses spot instances first, then any, and runs without deadlines after its last deadline', () => {
   const job = createJob({ spot: true, deadlineS: 10 }, { memberStates: 'NN' });
-  assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [false, false]);
+  assert.deepEqual([job.mayLaunchSpotOnly, job.mayLaunchOnDemand], [false, false]);
   job.submitExecutableMembers();
-  assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [true, false]);
+  assert.deepEqual([job.mayLaunchSpotOnly, job.mayLaunchOnDemand], [true, false]);
   assert.ok(!job.isStartPersisted);
   job.persistence.completeWrite(job.beginWrite(1), 6);
   assert.ok(job.isStartPersisted);
   job.fallBackFromSpot();
-  assert.deepEqual([job.prefersSpot, job.mayLaunchOnDemand], [false, true]);
+  assert.deepEqual([job.mayLaunchSpotOnly, job.mayLaunchOnDemand], [false, true]);
   assert.equal(job.endPipelineIfDue(10_999), undefined);
   assert.equal(job.endPipelineIfDue(11_000), 'expired');
   const { record } = job.beginWrite(1);
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -159,7 +159,7 @@
   const clock = new SimulatedClock();
   const requestedTargets: string[] = [];
   let isResponseTooLarge = false;
-  const caller: HttpClient = {
+  const httpClient: HttpClient = {
     call: (_address, _method, target) => {
       requestedTargets.push(target);
       if (target.startsWith('/follow')) {
@@ -173,7 +173,7 @@
     },
   };
   const client = new StoreClient({
-    caller,
+    httpClient,
     address: 'state:1',
     clock,
     limits: { requestsPerSecond: 100, writesPerSecond: 50, maxTransactionOperations: 10 },
@@ -207,7 +207,7 @@
     phase: 'running',
     ageS: 1,
   });
-  const caller: HttpClient = {
+  const httpClient: HttpClient = {
     call: (_address, method, target) => {
       requests.push({ atMs: clock.steadyMs(), target: `${method} ${target}` });
       if (target === '/catalog') return Promise.resolve({ status: 200, body: '{"builds":[]}' });
@@ -228,7 +228,7 @@
     if (event.kind === 'listed') listSizes.push(event.instances.length);
   };
   const cloudClient = new CloudClient({
-    caller,
+    httpClient,
     address: 'c:1',
     rates: computeLeaderCloudRates(REQUESTS_PER_SECOND, false),
     clock,
--- a/test/state/state-replica.test.ts
+++ b/test/state/state-replica.test.ts
@@ -17,7 +17,7 @@
     watch: (): Promise<HttpResponse> => Promise.resolve({ status: 200, body: '{"epoch":1,"log":[]}' }),
   };
   const client = new StoreClient({
-    caller: {
+    httpClient: {
       call: (_address, _method, target) => {
         if (target.startsWith('/follow')) return service.watch();
         service.listings++;
--- a/test/state/transaction-batcher.test.ts
+++ b/test/state/transaction-batcher.test.ts
@@ -65,7 +65,7 @@
     const measureBurst = async (isLeader: boolean): Promise<number> => {
       const clock = new SimulatedClock();
       const client = new StoreClient({
-        caller: { call: () => Promise.reject(new Error()) },
+        httpClient: { call: () => Promise.reject(new Error()) },
         address: '',
         clock,
         limits,
--- a/test/workers/command-dispatcher.test.ts
+++ b/test/workers/command-dispatcher.test.ts
@@ -44,7 +44,7 @@
   const dispatcher: CommandDispatcher = new CommandDispatcher({
     term: { fencingToken: 3, leaderKeyRevision: 1, authority },
     clusterState,
-    caller: {
+    httpClient: {
       call: (_address, _method, _target, body = '') => {
         bodies.push(body);
         return respond();
--- a/test/workers/heartbeat-relay.test.ts
+++ b/test/workers/heartbeat-relay.test.ts
@@ -28,7 +28,7 @@
     clock,
     log: pino({ level: 'silent' }),
     random,
-    channel: {
+    peerTransport: {
       send: (member, message) => {
         if (cluster.dropsMessages) return false;
         if (message.kind === 'relay') forwarded.push({ member, id: message.id });
