--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -1,3 +1,7 @@
+/**
+ * A simulated cloud provider, which lists, rents out and takes back machines. Simulated deployments, clusters on
+ * loopback and tests of the leased roles use it in place of the real cloud.
+ */
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpResponse } from '../http/message.js';
 import type { SimulatedWorker, WorkerMachine } from './simulated-worker.js';
--- a/src/simulation/loopback-cluster.ts
+++ b/src/simulation/loopback-cluster.ts
@@ -1,3 +1,7 @@
+/**
+ * Runs real controller processes on loopback against a simulated state service, cloud, workers and users. A test and
+ * a script use it to make holders of leased roles fail, and another script uses it to profile controllers under load.
+ */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdirSync, openSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
--- a/src/simulation/loopback-network.ts
+++ b/src/simulation/loopback-network.ts
@@ -1,3 +1,7 @@
+/**
+ * Provides HTTP servers and clients on real sockets, a real clock, and free loopback addresses and ports. With them,
+ * the simulated services, workers and users of a `LoopbackCluster` communicate with real controller processes.
+ */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import type { Logger } from 'pino';
 import type { Clock } from '@pumicehinge/runtime';
--- a/src/simulation/loopback-users.ts
+++ b/src/simulation/loopback-users.ts
@@ -1,3 +1,7 @@
+/**
+ * Simulates the users of a `LoopbackCluster`, which put load on its controllers. The responses of the controllers are
+ * not checked against the rules of the service.
+ */
 import { SocketHttpClient } from '../http/client.js';
 import { backgroundClock } from './loopback-network.js';
 import type { SimulatedJob, RuleChecker } from './rule-checker.js';
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -1,3 +1,7 @@
+/**
+ * A simulated network. It carries the HTTP requests and the peer messages of a `SimulatedDeployment`. Tests and
+ * scripts inject faults into it, such as partitions, paused hosts, and lost, late or duplicated messages.
+ */
 import { HttpCallError, type HttpClient, type HttpResponse } from '../http/message.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
--- a/src/simulation/role-action-log.ts
+++ b/src/simulation/role-action-log.ts
@@ -1,3 +1,8 @@
+/**
+ * Detects actions that were accepted from controllers that did not hold the leased role. Tests and scripts place it
+ * in front of the simulated state service and cloud. They also remove the fencing conditions from transactions, to
+ * show that such actions are then found.
+ */
 import {
   decodeHolder,
   decodeIntent,
--- a/src/simulation/rule-checker.ts
+++ b/src/simulation/rule-checker.ts
@@ -1,3 +1,9 @@
+/**
+ * Detects violations of the rules of the service in simulations, for example a task that runs twice at the same time
+ * or an accepted job that is forgotten. Simulated deployments and workers report events to it, and tests check the
+ * violations that it recorded.
+ */
+
 /** A job as its user describes it. */
 export interface SimulatedJob {
   uid: string;
--- a/src/simulation/simulated-worker.ts
+++ b/src/simulation/simulated-worker.ts
@@ -1,3 +1,8 @@
+/**
+ * Simulates the worker on a rented machine. It reports to the controllers, executes their commands, and ends its
+ * tasks when its lease expires. Simulated deployments and clusters on loopback start one on each machine that has
+ * booted.
+ */
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpClient, HttpResponse } from '../http/message.js';
 import type { SimulatedNetwork } from './network.js';
--- a/src/simulation/state-service.ts
+++ b/src/simulation/state-service.ts
@@ -1,3 +1,8 @@
+/**
+ * A simulated state service with conditional transactions, leases and a log of changes. Simulated deployments,
+ * clusters on loopback, and tests of controllers and leased roles use it in place of the real one. It can be made to
+ * refuse or delay requests.
+ */
 import type { Clock } from '@pumicehinge/runtime';
 import type { HttpResponse } from '../http/message.js';
 
--- a/src/simulation/traffic-observer.ts
+++ b/src/simulation/traffic-observer.ts
@@ -1,3 +1,7 @@
+/**
+ * The interface through which a simulated deployment reports its messages. The behavior trace script implements it to
+ * compute a digest of the messages of a run.
+ */
 import type { PeerMessage } from '../peers/peer-messages.js';
 
 /**
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests the decoding and validation of submissions, settings files and stored values, and the encoding of completion
+ * bitmaps.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,3 +1,4 @@
+/** Tests the HTTP parser, and the HTTP server and client on real sockets, including their connection limits. */
 import assert from 'node:assert/strict';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { test } from 'node:test';
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests that a simulated deployment of 4,000 machines finishes its array jobs within the rate limits of the state
+ * service and violates no rule, in spite of crashes, a partition of the zones and an outage of the state service.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimulatedDeployment, type DeploymentOptions } from '../src/simulation/simulated-deployment.js';
--- a/test/layers.test.ts
+++ b/test/layers.test.ts
@@ -1,3 +1,4 @@
+/** Tests that modules do not import from higher layers, and that packages do not import from src. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import { dirname, join, normalize } from 'node:path';
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Tests simulated deployments in which controllers, machines, the network, the state service or the cloud fail. Most
+ * tests check that no rule of the service is violated; others check single guarantees, such as limits on requests and
+ * writes.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ClusterState } from '../src/cluster/cluster-state.js';
--- a/test/sizing.test.ts
+++ b/test/sizing.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests the division of sockets and memory, the warnings about settings that are too low, and the detection of memory
+ * pressure. Also tests that large responses are read in pages, and that large fleets fit the rate limits.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests that this version reads the stored values and peer messages of the version in production, and that the
+ * version in production reads the job records of this version. Both run side by side during a rolling upgrade.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
